--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/Prediction.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/Prediction.java
@@ -67,7 +67,7 @@
   /** The time of a turn that does not wait, at the present pace. */
   static double workMillis(ServicePerformance performance) {
     return performance.firstEventMillis()
-        + performance.readingMillis(performance.newTokens())
+        + performance.prefillMillis(performance.newTokens())
         + performance.streamMillis();
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ServiceRoom.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ServiceRoom.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.baykeel.gateway.directory.Engine;
-import org.baykeel.gateway.directory.EngineStanding;
+import org.baykeel.gateway.directory.EngineHealth;
 import org.baykeel.gateway.directory.LoadEstimate;
 
 /**
@@ -83,10 +83,10 @@
   }
 
   private static boolean takesWork(Engine engine, long nowNanos) {
-    EngineStanding standing = engine.standing(nowNanos);
+    EngineHealth standing = engine.health(nowNanos);
     return !engine.record().draining()
         && !engine.removed()
-        && standing != EngineStanding.SUSPECT
-        && standing != EngineStanding.AVOIDED;
+        && standing != EngineHealth.SUSPECT
+        && standing != EngineHealth.AVOIDED;
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AdmittedCall.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AdmittedCall.java
@@ -4,7 +4,7 @@
 import org.baykeel.gateway.configuration.RouteKind;
 import org.baykeel.gateway.configuration.ServiceProfile;
 import org.baykeel.gateway.residency.Residency;
-import org.baykeel.gateway.scheduling.BackendChooser;
+import org.baykeel.gateway.scheduling.BackendSelector;
 import org.baykeel.gateway.tenancy.Caller;
 import org.baykeel.gateway.tenancy.LimitUse;
 
@@ -30,7 +30,7 @@
 
   /** Chooses the service for a request that was admitted. */
   static AdmittedCall of(
-      CallRequest request, Admission.Outcome.Admitted admitted, BackendChooser backendChooser) {
+      CallRequest request, Admission.Outcome.Admitted admitted, BackendSelector backendChooser) {
     Route route = admitted.route();
     CallAttributes attributes = request.attributes();
     String line = attributes.lineOrObject(route.kind() == RouteKind.STREAMING);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallRecord.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallRecord.java
@@ -108,7 +108,7 @@
           "predicted_ms",
           Math.round(choice.predictedMillis()),
           "here_ms",
-          Math.round(choice.nearMillis()));
+          Math.round(choice.inRegionMillis()));
     }
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineAttempt.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineAttempt.java
@@ -95,7 +95,7 @@
 
   void send(EngineTransport transport, EngineRequest request) {
     engine.requestStarted(startedNanos);
-    engine.room().sent(startedNanos);
+    engine.capacity().sent(startedNanos);
     waiting = !prompt.isEmpty();
     if (waiting) {
       admission.requestSent(engine.record().service(), startedNanos);
@@ -165,10 +165,11 @@
 
   private void saidFull() {
     ServicePerformance performance = engine.performance();
-    double answerMillis = prompt.isEmpty() ? performance.workMillis() : performance.streamMillis();
+    double answerMillis =
+        prompt.isEmpty() ? performance.nonStreamMillis() : performance.streamMillis();
     engine
-        .room()
-        .saidFull(
+        .capacity()
+        .reportedFull(
             answerMillis, engine.record().slots(), owner.waitingForRoom(), eventLoop.nanoTime());
   }
 
@@ -203,7 +204,7 @@
     if (events == 0) {
       noteFirstEvent(now);
     } else if (!heldBack) {
-      engine.observeGap((now - lastEventNanos) / 1e6);
+      engine.observeInterEventTime((now - lastEventNanos) / 1e6);
     }
     lastEventNanos = now;
     events++;
@@ -231,10 +232,10 @@
     if (closed) {
       return;
     }
-    engine.room().answered(eventLoop.nanoTime());
+    engine.capacity().responseReceived(eventLoop.nanoTime());
     if (body != null) {
       if (!heldBack) {
-        engine.performance().observeWork((eventLoop.nanoTime() - startedNanos) / 1e6);
+        engine.performance().observeNonStream((eventLoop.nanoTime() - startedNanos) / 1e6);
       }
       owner.onWholeAnswer(head, body.toByteArray());
     } else if (parser.midEvent()) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineAttempts.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineAttempts.java
@@ -221,7 +221,7 @@
   @Override
   public long nextPlaceNanos() {
     long now = eventLoop.nanoTime();
-    long nextPlaceNanos = context.selector().nextPlaceNanos(criteria, triedEngines, now);
+    long nextPlaceNanos = context.selector().nextCapacityNanos(criteria, triedEngines, now);
     return Math.max(nextPlaceNanos, notBeforeNanos);
   }
 
@@ -236,7 +236,7 @@
 
   /** The usual time of its work. */
   private double workMillis() {
-    return Math.max(SHORTEST_WORK_MILLIS, context.selector().answerMillis(criteria));
+    return Math.max(SHORTEST_WORK_MILLIS, context.selector().usualResponseMillis(criteria));
   }
 
   /** When the program is to be over or the caller no longer waits, whichever is first. */
@@ -366,7 +366,7 @@
     }
     boolean engineFailed = head.status() >= 500;
     if (engineFailed && mayRunAgain() && sends < 2) {
-      attempt.engine().faultAnswered(eventLoop.nanoTime());
+      attempt.engine().serverErrorReceived(eventLoop.nanoTime());
       endAttempt("status_" + head.status());
       dispatch();
       return;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GatewayContext.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GatewayContext.java
@@ -5,7 +5,7 @@
 import org.baykeel.gateway.history.TurnHistory;
 import org.baykeel.gateway.ratelimit.RequestLimiter;
 import org.baykeel.gateway.runtime.EventLoop;
-import org.baykeel.gateway.scheduling.BackendChooser;
+import org.baykeel.gateway.scheduling.BackendSelector;
 import org.baykeel.gateway.scheduling.EngineSelector;
 import org.baykeel.gateway.storage.StoreHealth;
 import org.baykeel.gateway.telemetry.DecisionLog;
@@ -37,7 +37,7 @@
     KeyAuthenticator authenticator,
     RequestLimiter limiter,
     EngineSelector selector,
-    BackendChooser backendChooser,
+    BackendSelector backendChooser,
     ProgramAdmission admission,
     ProgramBudgets budgets,
     TurnHistory history,
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/cordon/ZoneCordons.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/cordon/ZoneCordons.java
@@ -59,7 +59,7 @@
    *
    * @param nanos all rows that were acknowledged before this moment have been told
    */
-  public void proven(long nanos) {
+  public void recordProof(long nanos) {
     if (!everProven || nanos - provenNanos > 0) {
       everProven = true;
       provenNanos = nanos;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/Engine.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/Engine.java
@@ -27,13 +27,13 @@
   private final CachedPrefixes cachedPrefixes = new CachedPrefixes();
   private final EngineFailures failures = new EngineFailures();
   private final LoadEstimate load = new LoadEstimate();
-  private final EngineRoom room = new EngineRoom(load);
+  private final EngineCapacity capacity = new EngineCapacity(load);
   private final EngineSuspicionListener suspicionListener;
   private boolean removed;
   private int inFlight;
   private double waitMillis;
   private long waitObservedNanos;
-  private double gapMillis;
+  private double interEventMillis;
   private int gapsObserved;
   private boolean everCold;
   private long coldUntilNanos;
@@ -97,8 +97,8 @@
   }
 
   /** When it is expected to have a place. */
-  public EngineRoom room() {
-    return room;
+  public EngineCapacity capacity() {
+    return capacity;
   }
 
   /** How fast the engines of its service work. */
@@ -109,7 +109,7 @@
   /** The time in which it is expected to begin an answer when idle, in milliseconds. */
   public double expectedFirstEventMillis(List<PromptPart> prompt) {
     return performance.firstEventMillis()
-        + performance.readingMillis(cachedPrefixes.uncachedTokens(prompt));
+        + performance.prefillMillis(cachedPrefixes.uncachedTokens(prompt));
   }
 
   /** Requests that this process has sent to it and that are not over. */
@@ -154,16 +154,16 @@
   }
 
   /** Notes the time between two events of a stream, in milliseconds. */
-  public void observeGap(double millis) {
-    double counted = Math.min(millis, performance.gapMillis() * LONGEST_GAP_FACTOR);
-    gapMillis = gapMillis() + GAP_SMOOTHING * (counted - gapMillis());
+  public void observeInterEventTime(double millis) {
+    double counted = Math.min(millis, performance.interEventMillis() * LONGEST_GAP_FACTOR);
+    interEventMillis = interEventMillis() + GAP_SMOOTHING * (counted - interEventMillis());
     gapsObserved++;
-    performance.observeGap(counted);
+    performance.observeInterEventTime(counted);
   }
 
   /** The smoothed time between two events of a stream; that of its service if none was seen. */
-  public double gapMillis() {
-    return gapsObserved > 0 ? gapMillis : performance.gapMillis();
+  public double interEventMillis() {
+    return gapsObserved > 0 ? interEventMillis : performance.interEventMillis();
   }
 
   /**
@@ -171,18 +171,19 @@
    * may be over: the engine then counts as usual until one stream is under way there again, which
    * shows its pace anew.
    */
-  public double seenGapMillis(long nowNanos) {
+  public double observedInterEventMillis(long nowNanos) {
     boolean forgotten = inFlight == 0 && nowNanos - waitObservedNanos >= PACE_STALE_NANOS;
-    return forgotten ? performance.gapMillis() : gapMillis();
+    return forgotten ? performance.interEventMillis() : interEventMillis();
   }
 
   /**
    * The time between two events that is to be expected of its next stream: the fewer events were
    * seen here, the more the usual pace of its service counts.
    */
-  public double gapMillis(long nowNanos) {
+  public double interEventMillis(long nowNanos) {
     double own = gapsObserved / (gapsObserved + PACE_EVIDENCE);
-    return performance.gapMillis() + own * (seenGapMillis(nowNanos) - performance.gapMillis());
+    return performance.interEventMillis()
+        + own * (observedInterEventMillis(nowNanos) - performance.interEventMillis());
   }
 
   /**
@@ -198,14 +199,14 @@
   }
 
   /** Notes that another node suspects it; returns whether that is new here. */
-  public boolean suspectedElsewhere(long nowNanos) {
+  public boolean suspectedByPeer(long nowNanos) {
     boolean suspectBefore = failures.suspectAt(nowNanos);
     failures.suspectedElsewhere(nowNanos);
     return !suspectBefore;
   }
 
   /** Notes that it answered with a fault of its own: it is avoided briefly. */
-  public void faultAnswered(long nowNanos) {
+  public void serverErrorReceived(long nowNanos) {
     failures.faultAnswered(nowNanos);
   }
 
@@ -215,7 +216,7 @@
   }
 
   /** How far it is trusted with new work. */
-  public EngineStanding standing(long nowNanos) {
+  public EngineHealth health(long nowNanos) {
     return failures.standing(nowNanos);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineRoom.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineCapacity.java
@@ -9,7 +9,7 @@
  * by what waits at each. An answer of the engine halves it, and so tells of a place at once. A
  * report of the engine's load that is newer than its word shows a place earlier.
  */
-public final class EngineRoom {
+public final class EngineCapacity {
   private static final double SHORTEST_MILLIS = 10;
 
   /** The longest time until a place is expected, in answers, while few requests wait here. */
@@ -25,10 +25,10 @@
   private boolean everFull;
   private long saidNanos;
   private long placeNanos;
-  private long nextPlaceNanos;
+  private long nextCapacityNanos;
   private int mostRequests;
 
-  EngineRoom(LoadEstimate load) {
+  EngineCapacity(LoadEstimate load) {
     this.load = load;
   }
 
@@ -39,7 +39,7 @@
    * @param slots requests that it works on at once
    * @param waiting requests that wait for a place at this process
    */
-  public void saidFull(double answerMillis, int slots, int waiting, long nowNanos) {
+  public void reportedFull(double answerMillis, int slots, int waiting, long nowNanos) {
     int places = Math.max(1, slots);
     double crowding = HALVING_REQUESTS / (HALVING_REQUESTS + waiting);
     double longestMillis = answerMillis * LONGEST_ANSWERS * crowding;
@@ -48,34 +48,34 @@
     everFull = true;
     saidNanos = nowNanos;
     placeNanos = Math.round(millis * 1e6);
-    nextPlaceNanos = nowNanos + placeNanos;
+    nextCapacityNanos = nowNanos + placeNanos;
     mostRequests = Math.max(places, load.requests(nowNanos));
   }
 
   /** This process sends a request to the engine. */
   public void sent(long nowNanos) {
     if (remembered(nowNanos)) {
-      nextPlaceNanos = nowNanos + placeNanos;
+      nextCapacityNanos = nowNanos + placeNanos;
     }
   }
 
   /** The engine gave an answer to a request of this process: a place has come free. */
-  public void answered(long nowNanos) {
+  public void responseReceived(long nowNanos) {
     placeNanos = Math.max(Math.round(SHORTEST_MILLIS * 1e6), placeNanos / 2);
-    nextPlaceNanos = nowNanos;
+    nextCapacityNanos = nowNanos;
   }
 
   /** Whether the engine is expected to turn a request away. */
   public boolean full(long nowNanos) {
-    return nextPlaceNanos(nowNanos) - nowNanos > 0;
+    return nextCapacityNanos(nowNanos) - nowNanos > 0;
   }
 
   /** When it is expected to have a place; the present moment if it may have one. */
-  public long nextPlaceNanos(long nowNanos) {
-    if (!remembered(nowNanos) || nextPlaceNanos - nowNanos <= 0 || reportedRoom(nowNanos)) {
+  public long nextCapacityNanos(long nowNanos) {
+    if (!remembered(nowNanos) || nextCapacityNanos - nowNanos <= 0 || reportedRoom(nowNanos)) {
       return nowNanos;
     }
-    return Math.min(nextPlaceNanos, saidNanos + FORGET_NANOS);
+    return Math.min(nextCapacityNanos, saidNanos + FORGET_NANOS);
   }
 
   private boolean remembered(long nowNanos) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineDirectory.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineDirectory.java
@@ -115,24 +115,24 @@
       return;
     }
     EngineRecord before = known.record();
-    if (record.bornMillis() != 0 && record.bornMillis() < before.bornMillis()) {
+    if (record.startMillis() != 0 && record.startMillis() < before.startMillis()) {
       return;
     }
     lapsedUntilNanos.remove(record.id());
-    if (startedAgain(before, record.bornMillis())) {
+    if (startedAgain(before, record.startMillis())) {
       replace(known, record, nowNanos, EngineRestartListener.Source.ENTRY);
     } else if (before.service().equals(record.service())) {
-      known.update(record.orStartedAt(before.bornMillis()));
+      known.update(record.orStartedAt(before.startMillis()));
       known.noteWarmth(nowNanos);
     } else {
       // What is known of its work is of another service's.
       drop(known);
-      add(record.orStartedAt(before.bornMillis()), nowNanos);
+      add(record.orStartedAt(before.startMillis()), nowNanos);
     }
   }
 
   private static boolean startedAgain(EngineRecord before, long bornMillis) {
-    return before.bornMillis() != 0 && bornMillis > before.bornMillis();
+    return before.startMillis() != 0 && bornMillis > before.startMillis();
   }
 
   /**
@@ -143,16 +143,16 @@
    * @return false if the engine is not known, or if what was told is of an earlier life of it and
    *     must not be believed of the present one
    */
-  public boolean bornElsewhere(EngineId id, long bornMillis, long nowNanos) {
+  public boolean adoptStartTime(EngineId id, long bornMillis, long nowNanos) {
     Engine known = byId.get(id.value());
     if (known == null) {
       return false;
     }
     EngineRecord before = known.record();
-    if (bornMillis == 0 || bornMillis == before.bornMillis()) {
+    if (bornMillis == 0 || bornMillis == before.startMillis()) {
       return true;
     }
-    if (bornMillis < before.bornMillis()) {
+    if (bornMillis < before.startMillis()) {
       return false;
     }
     if (startedAgain(before, bornMillis)) {
@@ -169,7 +169,7 @@
     drop(former);
     add(record, nowNanos);
     restartListener.engineRestarted(
-        new EngineId(record.id()), former.record().bornMillis(), record.bornMillis(), source);
+        new EngineId(record.id()), former.record().startMillis(), record.startMillis(), source);
   }
 
   private void add(EngineRecord record, long nowNanos) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineFailures.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineFailures.java
@@ -84,14 +84,14 @@
     return everSuspect && nowNanos - suspectUntilNanos < 0;
   }
 
-  EngineStanding standing(long nowNanos) {
+  EngineHealth standing(long nowNanos) {
     if (penalized && nowNanos - avoidUntilNanos < 0) {
-      return EngineStanding.AVOIDED;
+      return EngineHealth.AVOIDED;
     }
     if (suspectAt(nowNanos)) {
-      return EngineStanding.SUSPECT;
+      return EngineHealth.SUSPECT;
     }
     boolean failedLately = everFailed && nowNanos - lastFailureNanos < PROBATION_NANOS;
-    return failedLately ? EngineStanding.PROBATION : EngineStanding.TRUSTED;
+    return failedLately ? EngineHealth.PROBATION : EngineHealth.HEALTHY;
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineStanding.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineHealth.java
@@ -1,9 +1,9 @@
 package org.baykeel.gateway.directory;
 
 /** How far an engine is trusted with new work, from what its latest requests came to. */
-public enum EngineStanding {
+public enum EngineHealth {
   /** Nothing speaks against it. */
-  TRUSTED {
+  HEALTHY {
     @Override
     public double penaltyMillis(boolean repeatable, double answerMillis) {
       return 0;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineId.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineId.java
@@ -3,7 +3,7 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * Names an engine. An engine that starts again may keep its name; {@link EngineRecord#bornMillis}
+ * Names an engine. An engine that starts again may keep its name; {@link EngineRecord#startMillis}
  * tells its lives apart.
  *
  * @param value the identifier as the engine states it
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineRecord.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineRecord.java
@@ -11,7 +11,7 @@
  * @param slots requests it works on at once
  * @param draining whether it asks for no new work
  * @param coldMillis how much longer it bears few requests after a start, in milliseconds
- * @param bornMillis when it started, in Unix milliseconds; 0 if it did not say
+ * @param startMillis when it started, in Unix milliseconds; 0 if it did not say
  */
 public record EngineRecord(
     String id,
@@ -22,7 +22,7 @@
     int slots,
     boolean draining,
     long coldMillis,
-    long bornMillis) {
+    long startMillis) {
 
   /** Longer than the entry of an engine takes to come after its start. */
   private static final long UNTOLD_COLD_MILLIS = 3_000;
@@ -48,7 +48,7 @@
 
   /** The same engine, which is to get no new work. */
   EngineRecord withoutNewWork() {
-    return new EngineRecord(id, service, host, port, zone, slots, true, coldMillis, bornMillis);
+    return new EngineRecord(id, service, host, port, zone, slots, true, coldMillis, startMillis);
   }
 
   /** The same engine with another start; it counts as cold until it says how warm it is. */
@@ -59,7 +59,7 @@
 
   /** The same statement with the start that is known, if it names none itself. */
   EngineRecord orStartedAt(long knownMillis) {
-    return bornMillis != 0 || knownMillis == 0
+    return startMillis != 0 || knownMillis == 0
         ? this
         : new EngineRecord(id, service, host, port, zone, slots, draining, coldMillis, knownMillis);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/ServicePerformance.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/ServicePerformance.java
@@ -35,10 +35,10 @@
   private double sumTokensMillis;
   private double millisPerToken = FIRST_MILLIS_PER_TOKEN;
   private double firstEventMillis = FIRST_EVENT_MILLIS;
-  private double gapMillis = FIRST_GAP_MILLIS;
-  private double eventsPerAnswer = FIRST_EVENTS_PER_ANSWER;
+  private double interEventMillis = FIRST_GAP_MILLIS;
+  private double eventsPerStream = FIRST_EVENTS_PER_ANSWER;
   private double newTokens = FIRST_NEW_TOKENS;
-  private double workMillis = FIRST_WORK_MILLIS;
+  private double nonStreamMillis = FIRST_WORK_MILLIS;
 
   /**
    * Notes the first event of a stream.
@@ -71,13 +71,13 @@
   }
 
   /** Notes the time between two events of a stream, in milliseconds. */
-  public void observeGap(double millis) {
-    gapMillis += SMOOTHING * (millis - gapMillis);
+  public void observeInterEventTime(double millis) {
+    interEventMillis += SMOOTHING * (millis - interEventMillis);
   }
 
   /** Notes how many events a whole stream had. */
   public void observeEvents(int events) {
-    eventsPerAnswer += SMOOTHING * (events - eventsPerAnswer);
+    eventsPerStream += SMOOTHING * (events - eventsPerStream);
   }
 
   /** Notes by how many tokens the prompt of a line of turns grew since its last turn. */
@@ -86,12 +86,12 @@
   }
 
   /** Notes the time that a whole answer other than a stream took, in milliseconds. */
-  public void observeWork(double millis) {
-    workMillis += SMOOTHING * (millis - workMillis);
+  public void observeNonStream(double millis) {
+    nonStreamMillis += SMOOTHING * (millis - nonStreamMillis);
   }
 
   /** The time to read tokens that are not kept, in milliseconds. */
-  public double readingMillis(double tokens) {
+  public double prefillMillis(double tokens) {
     return tokens * millisPerToken;
   }
 
@@ -101,13 +101,13 @@
   }
 
   /** The usual time between two events of a stream, in milliseconds. */
-  public double gapMillis() {
-    return gapMillis;
+  public double interEventMillis() {
+    return interEventMillis;
   }
 
   /** The usual number of events of a stream. */
-  public double eventsPerAnswer() {
-    return eventsPerAnswer;
+  public double eventsPerStream() {
+    return eventsPerStream;
   }
 
   /** Tokens by which a prompt usually grows from turn to turn. */
@@ -116,12 +116,12 @@
   }
 
   /** The usual time of an answer that is not a stream, in milliseconds. */
-  public double workMillis() {
-    return workMillis;
+  public double nonStreamMillis() {
+    return nonStreamMillis;
   }
 
   /** The usual time of a stream once its first event is there, in milliseconds. */
   public double streamMillis() {
-    return eventsPerAnswer * gapMillis;
+    return eventsPerStream * interEventMillis;
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/HttpLoadReports.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/HttpLoadReportClient.java
@@ -10,10 +10,10 @@
 import java.util.function.Consumer;
 import org.baykeel.gateway.directory.Engine;
 import org.baykeel.gateway.directory.EngineRecord;
-import org.baykeel.gateway.load.LoadAnswer;
+import org.baykeel.gateway.load.LoadQueryResult;
 import org.baykeel.gateway.load.LoadReport;
+import org.baykeel.gateway.load.LoadReportClient;
 import org.baykeel.gateway.load.LoadReportFormat;
-import org.baykeel.gateway.load.LoadReports;
 import org.baykeel.gateway.remote.StoreCall;
 import org.baykeel.gateway.remote.StoreReply;
 import org.baykeel.gateway.telemetry.DecisionLog;
@@ -24,7 +24,7 @@
  * Asks engines for their load over one kept connection to each that is asked. The connection of an
  * engine that is not asked any more is closed, since engines count connections.
  */
-public final class HttpLoadReports implements LoadReports {
+public final class HttpLoadReportClient implements LoadReportClient {
   /** What an engine may take to answer besides the way there and back. */
   private static final long ANSWER_MILLIS = 100;
 
@@ -70,7 +70,7 @@
    * @param roundTrips how far engines are
    * @param metrics counts the connections that are opened
    */
-  public HttpLoadReports(
+  public HttpLoadReportClient(
       EventLoopGroup group,
       LoadReportFormat format,
       RoundTrips roundTrips,
@@ -87,10 +87,12 @@
   }
 
   @Override
-  public void ask(Engine engine, Consumer<LoadAnswer> answer) {
+  public void query(Engine engine, Consumer<LoadQueryResult> answer) {
     Asked asked = askedAt(engine.record());
     if (asked.underWay) {
-      group.next().execute(() -> answer.accept(new LoadAnswer.Lost("a question is under way")));
+      group
+          .next()
+          .execute(() -> answer.accept(new LoadQueryResult.NoResponse("a question is under way")));
       return;
     }
     asked.underWay = true;
@@ -122,23 +124,23 @@
     return asked;
   }
 
-  private LoadAnswer read(StoreReply reply, long askedNanos) {
+  private LoadQueryResult read(StoreReply reply, long askedNanos) {
     if (reply instanceof StoreReply.Answered answered) {
       if (answered.status() >= SERVER_ERROR) {
-        return new LoadAnswer.Lost("status " + answered.status());
+        return new LoadQueryResult.NoResponse("status " + answered.status());
       }
       if (answered.status() != OK) {
-        return new LoadAnswer.Unavailable("status " + answered.status());
+        return new LoadQueryResult.Unavailable("status " + answered.status());
       }
       Optional<LoadReport> report = format.decode(answered.body());
       long asOf = askedNanos - format.lagMillis() * NANOS_PER_MILLI;
       return report
-          .<LoadAnswer>map(told -> new LoadAnswer.Reported(told, asOf))
-          .orElseGet(() -> new LoadAnswer.Unavailable("no report"));
+          .<LoadQueryResult>map(told -> new LoadQueryResult.Reported(told, asOf))
+          .orElseGet(() -> new LoadQueryResult.Unavailable("no report"));
     }
     return reply instanceof StoreReply.Lost lost
-        ? new LoadAnswer.Lost(lost.reason())
-        : new LoadAnswer.Lost(((StoreReply.NotSent) reply).reason());
+        ? new LoadQueryResult.NoResponse(lost.reason())
+        : new LoadQueryResult.NoResponse(((StoreReply.NotSent) reply).reason());
   }
 
   private void sweep() {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/EngineView.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/EngineLoadView.java
@@ -9,7 +9,7 @@
  * What a node knows about the reports of one engine: the last one, and how recently a node that
  * comes before this one told of it.
  */
-final class EngineView {
+final class EngineLoadView {
   /** An engine is loaded from this part of its memory on. */
   private static final double LOADED_MEMORY = 0.75;
 
@@ -23,7 +23,7 @@
   private long heardNanos;
   private long heardGapNanos;
 
-  EngineView(Engine engine, long nowNanos) {
+  EngineLoadView(Engine engine, long nowNanos) {
     this.engine = engine;
     this.id = new EngineId(engine.record().id());
     this.toldNanos = nowNanos;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoopStall.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/EventLoopLag.java
@@ -4,12 +4,12 @@
  * How late this process's event loop runs. What was received during a stall was not read then, so
  * it is older than it seems.
  */
-final class LoopStall {
+final class EventLoopLag {
   private final long intervalNanos;
   private long tickNanos;
   private long lastLateNanos;
 
-  LoopStall(long intervalNanos, long nowNanos) {
+  EventLoopLag(long intervalNanos, long nowNanos) {
     this.intervalNanos = intervalNanos;
     this.tickNanos = nowNanos;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadNotices.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadNoticePublisher.java
@@ -19,7 +19,7 @@
  * datagrams as hold them. The bytes are bounded: a report is asked for only when there is room to
  * tell it.
  */
-final class LoadNotices {
+final class LoadNoticePublisher {
   /** What one node sends of notices in a second, on the link and to all nodes together. */
   static final long BYTES_PER_SECOND = 16_384;
 
@@ -45,7 +45,7 @@
   /** A report to tell. */
   private record Pending(LoadReport report, long asOfNanos, long reservedBytes) {}
 
-  LoadNotices(
+  LoadNoticePublisher(
       PeerDirectory peers, PeerTransport transport, PeerMessageCodec codec, EventLoop eventLoop) {
     this.peers = peers;
     this.transport = transport;
@@ -114,7 +114,7 @@
   private static PeerMessage.ReportedLoad entry(EngineId engine, Pending told, long nowNanos) {
     long ageMillis = (nowNanos - told.asOfNanos() + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI;
     LoadReport report = told.report();
-    return new PeerMessage.ReportedLoad(engine, ageMillis, report.bornMillis(), report.load());
+    return new PeerMessage.ReportedLoad(engine, ageMillis, report.startMillis(), report.load());
   }
 
   private void send(PeerMessage.EngineLoadNotice notice, long nowNanos) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/ReporterTurn.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadQuerySchedule.java
@@ -8,7 +8,7 @@
  * two notices, and by its place longer; from then on it asks at the same pace, until a node before
  * it tells again. So nobody is set aside: a first node that is back just goes on.
  */
-final class ReporterTurn {
+final class LoadQuerySchedule {
   /** Between two questions to an engine that is loaded. */
   static final long FAST_NANOS = 200_000_000L;
 
@@ -44,7 +44,7 @@
 
   private static final int UNKNOWN = -1;
 
-  private final EngineView view;
+  private final EngineLoadView view;
   private final boolean inRegion;
   private int place = UNKNOWN;
   private int placeAmong = UNKNOWN;
@@ -55,13 +55,13 @@
   private long askedNanos;
   private long notBeforeNanos;
 
-  ReporterTurn(EngineView view, boolean inRegion, long nowNanos) {
+  LoadQuerySchedule(EngineLoadView view, boolean inRegion, long nowNanos) {
     this.view = view;
     this.inRegion = inRegion;
     this.notBeforeNanos = nowNanos;
   }
 
-  EngineView view() {
+  EngineLoadView view() {
     return view;
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReport.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReport.java
@@ -6,6 +6,6 @@
  * What an engine says when it is asked for its load.
  *
  * @param load its load
- * @param bornMillis when this life of the engine began, by the engine's clock; 0 if it did not say
+ * @param startMillis when this life of the engine began, by the engine's clock; 0 if it did not say
  */
-public record LoadReport(EngineLoad load, long bornMillis) {}
+public record LoadReport(EngineLoad load, long startMillis) {}
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReports.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReportClient.java
@@ -5,7 +5,7 @@
 
 /** Asks engines for their load. */
 @FunctionalInterface
-public interface LoadReports {
+public interface LoadReportClient {
 
   /**
    * Asks an engine; its caller has no other question to it under way.
@@ -13,5 +13,5 @@
    * @param engine the engine
    * @param answer is called once, on the event loop, after a bounded time
    */
-  void ask(Engine engine, Consumer<LoadAnswer> answer);
+  void query(Engine engine, Consumer<LoadQueryResult> answer);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReporter.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReporter.java
@@ -32,13 +32,13 @@
   private final PeerDirectory peers;
   private final RendezvousOrder order;
   private final Topology topology;
-  private final LoadReports reports;
-  private final LoadBoard board;
-  private final LoadNotices notices;
-  private final LoopStall stall;
+  private final LoadReportClient reports;
+  private final LoadView board;
+  private final LoadNoticePublisher notices;
+  private final EventLoopLag stall;
   private final EventLoop eventLoop;
   private final DecisionLog log;
-  private final Map<EngineView, ReporterTurn> turns = new HashMap<>();
+  private final Map<EngineLoadView, LoadQuerySchedule> turns = new HashMap<>();
   private long ticks;
   private int linesLeft = LINES_PER_SECOND;
 
@@ -47,10 +47,10 @@
       PeerDirectory peers,
       RendezvousOrder order,
       Topology topology,
-      LoadReports reports,
-      LoadBoard board,
-      LoadNotices notices,
-      LoopStall stall,
+      LoadReportClient reports,
+      LoadView board,
+      LoadNoticePublisher notices,
+      EventLoopLag stall,
       EventLoop eventLoop,
       DecisionLog log) {
     this.engines = engines;
@@ -84,13 +84,13 @@
   private void askWhoIsDue(long now) {
     int nodes = peers.nearby().size();
     int placesLeft = PLACES_PER_TICK;
-    List<ReporterTurn> round = new ArrayList<>();
+    List<LoadQuerySchedule> round = new ArrayList<>();
     boolean anyDue = false;
     for (Engine engine : engines.all()) {
       if (engine.record().draining()) {
         continue;
       }
-      ReporterTurn turn = turnOf(engine, now);
+      LoadQuerySchedule turn = turnOf(engine, now);
       if (!turn.placedAmong(nodes) && placesLeft > 0) {
         placesLeft--;
         turn.place(order.placeOfSelf(engine.record().id()), nodes);
@@ -109,8 +109,8 @@
    * Asks engines together, so that one notice tells of them. Those of which this node is the first
    * wait until there is room for all of them; the others get what is left.
    */
-  private void askRound(List<ReporterTurn> round, long now) {
-    Comparator<ReporterTurn> byPlace = Comparator.comparingInt(ReporterTurn::place);
+  private void askRound(List<LoadQuerySchedule> round, long now) {
+    Comparator<LoadQuerySchedule> byPlace = Comparator.comparingInt(LoadQuerySchedule::place);
     round.sort(byPlace.thenComparingLong(turn -> -turn.waitedNanos(now)));
     long ownBytes =
         round.stream()
@@ -121,7 +121,7 @@
       return;
     }
     long shared = notices.roundBytes();
-    for (ReporterTurn turn : round) {
+    for (LoadQuerySchedule turn : round) {
       long bytes = shared + notices.entryBytes(turn.view().id());
       if (!notices.room(bytes)) {
         return;
@@ -131,22 +131,23 @@
     }
   }
 
-  private ReporterTurn turnOf(Engine engine, long now) {
+  private LoadQuerySchedule turnOf(Engine engine, long now) {
     return turns.computeIfAbsent(
         board.viewOf(engine),
         view ->
-            new ReporterTurn(view, topology.localityOf(engine.record().zone()).inRegion(), now));
+            new LoadQuerySchedule(
+                view, topology.localityOf(engine.record().zone()).inRegion(), now));
   }
 
-  private void ask(ReporterTurn turn, long reserved, long now) {
+  private void ask(LoadQuerySchedule turn, long reserved, long now) {
     notices.reserve(reserved);
     turn.asked(now);
-    reports.ask(turn.view().engine(), answer -> onAnswer(turn, reserved, answer));
+    reports.query(turn.view().engine(), answer -> onAnswer(turn, reserved, answer));
   }
 
-  private void onAnswer(ReporterTurn turn, long reserved, LoadAnswer answer) {
+  private void onAnswer(LoadQuerySchedule turn, long reserved, LoadQueryResult answer) {
     long now = eventLoop.nanoTime();
-    if (answer instanceof LoadAnswer.Reported reported) {
+    if (answer instanceof LoadQueryResult.Reported reported) {
       if (turn.answered()) {
         logChange(turn, true);
       }
@@ -154,7 +155,7 @@
       return;
     }
     notices.release(reserved);
-    if (answer instanceof LoadAnswer.Unavailable unavailable) {
+    if (answer instanceof LoadQueryResult.Unavailable unavailable) {
       turn.unavailable(now);
       logUnavailable(turn, unavailable.reason());
     } else {
@@ -163,9 +164,9 @@
   }
 
   /** The engine may have begun another life since it was asked, which this report tells first. */
-  private void adopt(EngineId id, LoadAnswer.Reported reported, long reserved, long now) {
+  private void adopt(EngineId id, LoadQueryResult.Reported reported, long reserved, long now) {
     LoadReport report = reported.report();
-    if (!board.ofPresentLife(id, report.bornMillis())) {
+    if (!board.ofPresentLife(id, report.startMillis())) {
       notices.release(reserved);
       return;
     }
@@ -173,14 +174,14 @@
     notices.tell(id, report, reported.asOfNanos(), reserved);
   }
 
-  private void onHeardBefore(EngineView view) {
-    ReporterTurn turn = turns.get(view);
+  private void onHeardBefore(EngineLoadView view) {
+    LoadQuerySchedule turn = turns.get(view);
     if (turn != null && turn.heardBefore()) {
       logChange(turn, false);
     }
   }
 
-  private void logChange(ReporterTurn turn, boolean begins) {
+  private void logChange(LoadQuerySchedule turn, boolean begins) {
     if (linesLeft-- > 0) {
       log.write(
           GatewayEvent.LOAD_REPORTER_CHANGED,
@@ -195,7 +196,7 @@
     }
   }
 
-  private void logUnavailable(ReporterTurn turn, String reason) {
+  private void logUnavailable(LoadQuerySchedule turn, String reason) {
     if (linesLeft-- > 0) {
       log.write(
           GatewayEvent.LOAD_REPORT_UNAVAILABLE,
@@ -204,7 +205,7 @@
           "reason",
           reason,
           "next_ms",
-          ReporterTurn.UNAVAILABLE_NANOS / NANOS_PER_MILLI);
+          LoadQuerySchedule.UNAVAILABLE_NANOS / NANOS_PER_MILLI);
     }
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/SharedLoad.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadSharing.java
@@ -18,13 +18,13 @@
 import org.baykeel.gateway.topology.Topology;
 
 /** This node's part in the shared view of the engines' load. Used only from the event loop. */
-public final class SharedLoad implements PeerMessageListener {
+public final class LoadSharing implements PeerMessageListener {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   private final EngineDirectory engines;
   private final EventLoop eventLoop;
-  private final LoadBoard board;
-  private final LoadNotices notices;
+  private final LoadView board;
+  private final LoadNoticePublisher notices;
   private final LoadReporter reporter;
   private boolean started;
 
@@ -35,24 +35,24 @@
    * @param reports asks engines
    * @param distance how far other nodes are
    */
-  public SharedLoad(
+  public LoadSharing(
       PeerAddress self,
       EngineDirectory engines,
       PeerDirectory peers,
       PeerTransport transport,
       PeerMessageCodec codec,
       Topology topology,
-      LoadReports reports,
+      LoadReportClient reports,
       PeerDistance distance,
       EventLoop eventLoop,
       DecisionLog log) {
     this.engines = engines;
     this.eventLoop = eventLoop;
     RendezvousOrder order = new RendezvousOrder(self, peers::nearby);
-    LoopStall stall =
-        new LoopStall(LoadReporter.TICK_MILLIS * NANOS_PER_MILLI, eventLoop.nanoTime());
-    this.board = new LoadBoard(engines, order, distance, eventLoop, stall);
-    this.notices = new LoadNotices(peers, transport, codec, eventLoop);
+    EventLoopLag stall =
+        new EventLoopLag(LoadReporter.TICK_MILLIS * NANOS_PER_MILLI, eventLoop.nanoTime());
+    this.board = new LoadView(engines, order, distance, eventLoop, stall);
+    this.notices = new LoadNoticePublisher(peers, transport, codec, eventLoop);
     this.reporter =
         new LoadReporter(
             engines, peers, order, topology, reports, board, notices, stall, eventLoop, log);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadBoard.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadView.java
@@ -19,16 +19,16 @@
  * that counts is the one that was told, and on top the longest that the datagram may have been on
  * its way or unread.
  */
-final class LoadBoard implements PeerMessageListener {
+final class LoadView implements PeerMessageListener {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   private final EngineDirectory engines;
   private final RendezvousOrder order;
   private final PeerDistance distance;
   private final EventLoop eventLoop;
-  private final LoopStall stall;
-  private final Map<String, EngineView> viewById = new HashMap<>();
-  private Consumer<EngineView> onHeardBefore = view -> {};
+  private final EventLoopLag stall;
+  private final Map<String, EngineLoadView> viewById = new HashMap<>();
+  private Consumer<EngineLoadView> onHeardBefore = view -> {};
   private long notices;
 
   /**
@@ -37,12 +37,12 @@
    * @param order tells which nodes come before this one
    * @param distance the time to a node and back bounds the way of its datagrams
    */
-  LoadBoard(
+  LoadView(
       EngineDirectory engines,
       RendezvousOrder order,
       PeerDistance distance,
       EventLoop eventLoop,
-      LoopStall stall) {
+      EventLoopLag stall) {
     this.engines = engines;
     this.order = order;
     this.distance = distance;
@@ -51,15 +51,15 @@
   }
 
   /** Sets who hears that a node that comes before this one told of an engine. */
-  void onHeardBefore(Consumer<EngineView> listener) {
+  void onHeardBefore(Consumer<EngineLoadView> listener) {
     onHeardBefore = listener;
   }
 
   /** What is known about an engine's reports. */
-  EngineView viewOf(Engine engine) {
-    EngineView view = viewById.get(engine.record().id());
+  EngineLoadView viewOf(Engine engine) {
+    EngineLoadView view = viewById.get(engine.record().id());
     if (view == null || view.engine() != engine) {
-      view = new EngineView(engine, eventLoop.nanoTime());
+      view = new EngineLoadView(engine, eventLoop.nanoTime());
       viewById.put(engine.record().id(), view);
     }
     return view;
@@ -72,11 +72,11 @@
    * @param bornMillis when the life that reports began, in Unix milliseconds; 0 if it did not say
    */
   boolean ofPresentLife(EngineId engine, long bornMillis) {
-    return engines.bornElsewhere(engine, bornMillis, eventLoop.nanoTime());
+    return engines.adoptStartTime(engine, bornMillis, eventLoop.nanoTime());
   }
 
   /** What is known about the reports of all engines that were seen. */
-  Collection<EngineView> views() {
+  Collection<EngineLoadView> views() {
     return viewById.values();
   }
 
@@ -99,15 +99,15 @@
   }
 
   private void onTold(PeerAddress sender, PeerMessage.ReportedLoad told) {
-    if (!ofPresentLife(told.engineId(), told.bornMillis())) {
+    if (!ofPresentLife(told.engineId(), told.startMillis())) {
       return;
     }
     Engine engine = engines.find(told.engineId());
     long now = eventLoop.nanoTime();
     long ageMillis = told.ageMillis() + distance.roundTripMillis(sender);
     long asOf = now - ageMillis * NANOS_PER_MILLI - stall.lateNanos(now);
-    EngineView view = viewOf(engine);
-    boolean adopted = view.adopt(new LoadReport(told.load(), told.bornMillis()), asOf, now);
+    EngineLoadView view = viewOf(engine);
+    boolean adopted = view.adopt(new LoadReport(told.load(), told.startMillis()), asOf, now);
     if (adopted && order.precedesSelf(sender, view.id().value())) {
       view.heardBefore(now);
       onHeardBefore.accept(view);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineLoadNoticeCodec.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineLoadNoticeCodec.java
@@ -73,7 +73,7 @@
       engines
           .next()
           .ageMillis(engine.ageMillis())
-          .bornMillis(engine.bornMillis())
+          .bornMillis(engine.startMillis())
           .waiting(Math.min(MAX_COUNT, engine.load().waiting()))
           .running(Math.min(MAX_COUNT, engine.load().running()))
           .usedTokens(engine.load().usedTokens())
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineSuspicionGossip.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineSuspicionGossip.java
@@ -64,7 +64,7 @@
     if (engine == null) {
       return;
     }
-    if (engine.suspectedElsewhere(eventLoop.nanoTime())) {
+    if (engine.suspectedByPeer(eventLoop.nanoTime())) {
       log.write(GatewayEvent.ENGINE_REPORTED, "engine", engineId.value(), "peer", sender);
     }
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessage.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessage.java
@@ -42,11 +42,11 @@
    *
    * @param engineId the engine
    * @param ageMillis how old that was when the notice was sent
-   * @param bornMillis when this life of the engine began, by the engine's clock; 0 if it did not
+   * @param startMillis when this life of the engine began, by the engine's clock; 0 if it did not
    *     say
    * @param load its load
    */
-  record ReportedLoad(EngineId engineId, long ageMillis, long bornMillis, EngineLoad load) {}
+  record ReportedLoad(EngineId engineId, long ageMillis, long startMillis, EngineLoad load) {}
 
   /**
    * The sender serves a program now.
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/BackendChooser.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/BackendSelector.java
@@ -11,7 +11,7 @@
  * object) always go to the same part; the others take smooth weighted round robin, which keeps the
  * shares exact over any run of requests.
  */
-public final class BackendChooser {
+public final class BackendSelector {
   private final Map<String, long[]> creditByRoute = new HashMap<>();
 
   /**
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/EnginePolicy.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/EnginePolicy.java
@@ -21,5 +21,5 @@
   }
 
   /** An engine was chosen; the request is sent to it now. */
-  default void chosen(Engine engine, long nowNanos) {}
+  default void onSelected(Engine engine, long nowNanos) {}
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/EngineSelector.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/EngineSelector.java
@@ -151,12 +151,12 @@
    *
    * @param engine the engine
    * @param predictedMillis what speaks against it, in milliseconds
-   * @param nearMillis the same for the best engine of this node's region; negative if none may run
-   *     the request
+   * @param inRegionMillis the same for the best engine of this node's region; negative if none may
+   *     run the request
    * @param locality where the engine is
    */
   public record Choice(
-      Engine engine, double predictedMillis, double nearMillis, Locality locality) {}
+      Engine engine, double predictedMillis, double inRegionMillis, Locality locality) {}
 
   /**
    * The best engine that is not excluded; the request counts as sent to it.
@@ -198,11 +198,11 @@
         nearMillis = Math.max(0, millis);
       }
     }
-    if (best == null || best.room().full(nowNanos)) {
+    if (best == null || best.capacity().full(nowNanos)) {
       return null;
     }
     for (EnginePolicy policy : policies) {
-      policy.chosen(best, nowNanos);
+      policy.onSelected(best, nowNanos);
     }
     return new Choice(best, bestMillis, nearMillis, locality(best));
   }
@@ -214,13 +214,13 @@
    * @return a moment, the present one if an engine may have a place; {@link Long#MAX_VALUE} if none
    *     takes work
    */
-  public long nextPlaceNanos(Criteria criteria, Set<String> excluded, long nowNanos) {
+  public long nextCapacityNanos(Criteria criteria, Set<String> excluded, long nowNanos) {
     collectCandidates(criteria, excluded, nowNanos);
-    double answerMillis = answerMillis(criteria);
+    double answerMillis = usualResponseMillis(criteria);
     long earliest = Long.MAX_VALUE;
     long anyNanos = Long.MAX_VALUE;
     for (Engine engine : candidates) {
-      long nextNanos = engine.room().nextPlaceNanos(nowNanos);
+      long nextNanos = engine.capacity().nextCapacityNanos(nowNanos);
       anyNanos = Math.min(anyNanos, nextNanos);
       if (standingMillis(engine, criteria, answerMillis, nowNanos) < FULL_PENALTY_MILLIS) {
         earliest = Math.min(earliest, nextNanos);
@@ -232,7 +232,7 @@
   /** What speaks against an engine whatever its load: how far it is trusted, and the policies. */
   private double standingMillis(
       Engine engine, Criteria criteria, double answerMillis, long nowNanos) {
-    double millis = engine.standing(nowNanos).penaltyMillis(criteria.repeatable(), answerMillis);
+    double millis = engine.health(nowNanos).penaltyMillis(criteria.repeatable(), answerMillis);
     for (EnginePolicy policy : policies) {
       millis += policy.penaltyMillis(engine, criteria, nowNanos);
     }
@@ -240,10 +240,10 @@
   }
 
   /** The usual time of a whole answer to a request, in milliseconds. */
-  public double answerMillis(Criteria criteria) {
+  public double usualResponseMillis(Criteria criteria) {
     ServicePerformance performance = directory.performanceOf(criteria.service());
     return criteria.prompt().isEmpty()
-        ? performance.workMillis()
+        ? performance.nonStreamMillis()
         : performance.firstEventMillis() + performance.streamMillis();
   }
 
@@ -281,7 +281,7 @@
       gapsMillis = new double[count];
     }
     for (int i = 0; i < count; i++) {
-      gapsMillis[i] = engines.get(i).seenGapMillis(nowNanos);
+      gapsMillis[i] = engines.get(i).observedInterEventMillis(nowNanos);
     }
     Arrays.sort(gapsMillis, 0, count);
     return count == 0 ? 0 : gapsMillis[(count - 1) / 2];
@@ -291,23 +291,23 @@
       Engine engine, Criteria criteria, double usualGapMillis, long nowNanos) {
     ServicePerformance performance = engine.performance();
     boolean stream = !criteria.prompt().isEmpty();
-    double answerMillis = stream ? performance.streamMillis() : performance.workMillis();
+    double answerMillis = stream ? performance.streamMillis() : performance.nonStreamMillis();
     double millis = stream ? 0 : tieMillis(engine);
     if (stream) {
       millis += engine.inFlight() * answerMillis * STREAM_IN_FLIGHT_WEIGHT;
       int unread = engine.cachedPrefixes().uncachedTokens(criteria.prompt());
-      millis += performance.readingMillis(unread) * READING_WEIGHT;
+      millis += performance.prefillMillis(unread) * READING_WEIGHT;
       boolean free = criteria.homeKey() == null && waitPrediction.known(engine);
       millis +=
           free ? freeWaitMillis(engine, criteria) : programWaitMillis(engine, criteria, nowNanos);
       double excessGap = excessGapMillis(engine, free, usualGapMillis, nowNanos);
-      millis += excessGap * performance.eventsPerAnswer();
+      millis += excessGap * performance.eventsPerStream();
     } else {
       millis += engine.inFlight() * placeMillis(engine);
       millis += waitPrediction.known(engine) ? waitPrediction.expectedMillis(engine) : 0;
     }
     millis += wayMillis(engine, stream);
-    if (engine.room().full(nowNanos)) {
+    if (engine.capacity().full(nowNanos)) {
       millis += FULL_PENALTY_MILLIS;
     }
     return millis + standingMillis(engine, criteria, answerMillis, nowNanos);
@@ -325,7 +325,7 @@
       return seenMillis;
     }
     int tokens = PromptPart.totalTokens(criteria.prompt());
-    double readingMillis = engine.performance().readingMillis(2.0 * tokens) * READING_WEIGHT;
+    double readingMillis = engine.performance().prefillMillis(2.0 * tokens) * READING_WEIGHT;
     return Math.max(seenMillis, waitPrediction.reportedMillis(engine) - readingMillis);
   }
 
@@ -347,9 +347,9 @@
   private static double excessGapMillis(
       Engine engine, boolean free, double usualGapMillis, long nowNanos) {
     if (!free) {
-      return Math.max(0, engine.seenGapMillis(nowNanos) - usualGapMillis * SLOW_PACE);
+      return Math.max(0, engine.observedInterEventMillis(nowNanos) - usualGapMillis * SLOW_PACE);
     }
-    double gapMillis = engine.gapMillis(nowNanos);
+    double gapMillis = engine.interEventMillis(nowNanos);
     boolean equal =
         gapMillis < usualGapMillis * EQUAL_PACE && gapMillis * EQUAL_PACE > usualGapMillis;
     return equal ? 0 : gapMillis - usualGapMillis;
@@ -367,7 +367,7 @@
 
   /** The time after which an engine that is full is expected to have a place again. */
   private static double placeMillis(Engine engine) {
-    return engine.performance().workMillis() / slots(engine);
+    return engine.performance().nonStreamMillis() / slots(engine);
   }
 
   private static int slots(Engine engine) {
@@ -393,7 +393,7 @@
 
   private static double homeBonusMillis(Engine home) {
     ServicePerformance performance = home.performance();
-    return performance.readingMillis(performance.newTokens()) * HOME_BONUS_TURNS * READING_WEIGHT;
+    return performance.prefillMillis(performance.newTokens()) * HOME_BONUS_TURNS * READING_WEIGHT;
   }
 
   /** What earlier turns through other processes are assumed to have left at the home. */
@@ -401,7 +401,7 @@
     ServicePerformance performance = home.performance();
     int uncached = home.cachedPrefixes().uncachedTokens(criteria.prompt());
     double assumedKept = Math.max(0, uncached - performance.newTokens());
-    return homeBonusMillis(home) + performance.readingMillis(assumedKept) * READING_WEIGHT;
+    return homeBonusMillis(home) + performance.prefillMillis(assumedKept) * READING_WEIGHT;
   }
 
   /**
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/MemoryPolicy.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/MemoryPolicy.java
@@ -42,7 +42,7 @@
       return 0;
     }
     ServicePerformance performance = engine.performance();
-    double preemptedMillis = performance.readingMillis(promptTokens) + performance.streamMillis();
+    double preemptedMillis = performance.prefillMillis(promptTokens) + performance.streamMillis();
     return preemptedMillis * (1 + (needTokens - leftTokens) / needTokens);
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/SlowHomePolicy.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/SlowHomePolicy.java
@@ -100,16 +100,16 @@
     ServicePerformance performance = engine.performance();
     double savedMillis = streamMillis(engine, nowNanos) - performance.streamMillis();
     int tokens = PromptPart.totalTokens(criteria.prompt());
-    return savedMillis * TURNS_LEFT > performance.readingMillis(tokens);
+    return savedMillis * TURNS_LEFT > performance.prefillMillis(tokens);
   }
 
   /** The time between two events of its next stream, as a multiple of the usual one. */
   private static double pace(Engine engine, long nowNanos) {
-    return engine.gapMillis(nowNanos) / engine.performance().gapMillis();
+    return engine.interEventMillis(nowNanos) / engine.performance().interEventMillis();
   }
 
   private static double streamMillis(Engine engine, long nowNanos) {
-    return engine.gapMillis(nowNanos) * engine.performance().eventsPerAnswer();
+    return engine.interEventMillis(nowNanos) * engine.performance().eventsPerStream();
   }
 
   private void logOnceASecond(GatewayEvent event, Engine engine, LeftHome home, long nowNanos) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/WaitPrediction.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/WaitPrediction.java
@@ -92,8 +92,8 @@
   private double answerMillis(Engine engine) {
     double millis =
         stream
-            ? engine.performance().eventsPerAnswer() * engine.gapMillis(nowNanos)
-            : engine.performance().workMillis();
+            ? engine.performance().eventsPerStream() * engine.interEventMillis(nowNanos)
+            : engine.performance().nonStreamMillis();
     return Math.max(1, millis);
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/urgency/AimByRoute.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/urgency/FinishTargetByRoute.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** The time that programs of each route usually have at their beginning, as seen here. */
-final class AimByRoute {
+final class FinishTargetByRoute {
   /** The weight of a new observation; some thirty of them make up the mean. */
   private static final double WEIGHT = 1.0 / 30;
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/urgency/ProgramUrgency.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/urgency/ProgramUrgency.java
@@ -38,7 +38,7 @@
   /** Programs that are remembered; those unheard of for longest go first. */
   private static final int MAX_PROGRAMS = 1_024;
 
-  private final AimByRoute aims = new AimByRoute();
+  private final FinishTargetByRoute aims = new FinishTargetByRoute();
   private final Map<String, SeenProgram> programs =
       new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
@@ -72,31 +72,31 @@
     return Math.floorMod(StableHash.of(request.requestId()), FAVOURED_ONE_IN) == 0;
   }
 
-  private Standing standingOf(RankedRequest request, long nowNanos) {
+  private UrgencyLevel standingOf(RankedRequest request, long nowNanos) {
     if (!request.timed()) {
-      return request.stream() ? Standing.OPENING : Standing.UNDER_WAY;
+      return request.stream() ? UrgencyLevel.STARTING : UrgencyLevel.UNDER_WAY;
     }
     SeenProgram program = programs.get(request.program());
     if (program == null) {
       program = firstSeen(request, nowNanos);
       programs.put(request.program(), program);
     }
-    if (request.leftMillis() == 0) {
-      return program.overdue(nowNanos) ? Standing.OVERDUE : Standing.LATE;
+    if (request.remainingMillis() == 0) {
+      return program.overdue(nowNanos) ? UrgencyLevel.OVERDUE : UrgencyLevel.LATE;
     }
     if (request.requestId().equals(program.openingRequest())) {
-      return Standing.OPENING;
+      return UrgencyLevel.STARTING;
     }
-    return request.leftMillis() < program.aimMillis() * ENDING_PART
-        ? Standing.ENDING
-        : Standing.UNDER_WAY;
+    return request.remainingMillis() < program.aimMillis() * ENDING_PART
+        ? UrgencyLevel.NEAR_TARGET
+        : UrgencyLevel.UNDER_WAY;
   }
 
   private SeenProgram firstSeen(RankedRequest request, long nowNanos) {
-    long left = request.leftMillis();
+    long left = request.remainingMillis();
     double usual = aims.usualMillis(request.route());
-    boolean opening = request.mayOpen() && left > 0 && left >= usual * OPENING_PART;
-    if (request.mayOpen() && left > 0) {
+    boolean opening = request.mayBeFirstTurn() && left > 0 && left >= usual * OPENING_PART;
+    if (request.mayBeFirstTurn() && left > 0) {
       aims.observe(request.route(), left);
     }
     return opening
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/urgency/RankedRequest.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/urgency/RankedRequest.java
@@ -8,9 +8,9 @@
  * @param kindRank the rank of its kind and tenant, 0 being the most urgent
  * @param stream whether it is a stream
  * @param program its program, apart from those of other tenants; null if it has none
- * @param mayOpen whether it may be the first turn of its program, by what it says itself
- * @param leftMillis what is left of its program's time, 0 if that has passed; {@link #ABSENT} if it
- *     did not say
+ * @param mayBeFirstTurn whether it may be the first turn of its program, by what it says itself
+ * @param remainingMillis what is left of its program's time, 0 if that has passed; {@link #ABSENT}
+ *     if it did not say
  */
 public record RankedRequest(
     String requestId,
@@ -18,14 +18,14 @@
     int kindRank,
     boolean stream,
     String program,
-    boolean mayOpen,
-    long leftMillis) {
+    boolean mayBeFirstTurn,
+    long remainingMillis) {
 
   /** Stands for a time that a request does not carry. */
   public static final long ABSENT = -1;
 
   /** Whether it belongs to a program whose time is known. */
   boolean timed() {
-    return program != null && leftMillis != ABSENT;
+    return program != null && remainingMillis != ABSENT;
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/urgency/Urgency.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/urgency/Urgency.java
@@ -13,7 +13,7 @@
    * The rank of a request that is about to be sent.
    *
    * @param request what its rank depends on, as of now
-   * @return 0 to {@link Standing#LEAST_URGENT}, 0 being the most urgent; or {@link #UNRANKED}
+   * @return 0 to {@link UrgencyLevel#LEAST_URGENT}, 0 being the most urgent; or {@link #UNRANKED}
    */
   int rankOf(RankedRequest request, long nowNanos);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/urgency/Standing.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/urgency/UrgencyLevel.java
@@ -4,16 +4,16 @@
  * How a request's program stands against its time, the most urgent first. Each standing has a few
  * ranks of its own, in which the more urgent kinds go first; no kind leaves its standing's ranks.
  */
-public enum Standing {
+public enum UrgencyLevel {
   /** Under way, with little of its time left. */
-  ENDING(0, 2),
+  NEAR_TARGET(0, 2),
   /**
    * Under way. Requests without a program that are no streams are ranked here too: they are whole
    * with one answer and compete with what programs under way call.
    */
   UNDER_WAY(2, 3),
   /** Beginning. Streams without a program are ranked here too: they compete with beginnings. */
-  OPENING(5, 3),
+  STARTING(5, 3),
   /** Its time has passed. */
   LATE(8, 1),
   /** Its time has passed long ago. */
@@ -25,7 +25,7 @@
   private final int firstRank;
   private final int ranks;
 
-  Standing(int firstRank, int ranks) {
+  UrgencyLevel(int firstRank, int ranks) {
     this.firstRank = firstRank;
     this.ranks = ranks;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/warmup/WarmupPolicy.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/warmup/WarmupPolicy.java
@@ -135,7 +135,7 @@
   }
 
   @Override
-  public void chosen(Engine engine, long nowNanos) {
+  public void onSelected(Engine engine, long nowNanos) {
     if (!engine.cold(nowNanos)) {
       if (!coldEngines.isEmpty()) {
         coldEngines.remove(engine.record().id());
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/LoadedService.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/LoadedService.java
@@ -180,7 +180,7 @@
       place.running--;
       Engine engine = node.directory.ofService("s").get(at % node.directory.size());
       for (int i = 1; i < EVENTS; i++) {
-        engine.observeGap(gap);
+        engine.observeInterEventTime(gap);
       }
       engine.performance().observeEvents(EVENTS);
       serve(place);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/TestProgramAdmission.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/TestProgramAdmission.java
@@ -97,7 +97,7 @@
 
   private void pace(double gapMillis) {
     for (int i = 0; i < 1_000; i++) {
-      engines.performanceOf("s").observeGap(gapMillis);
+      engines.performanceOf("s").observeInterEventTime(gapMillis);
     }
   }
 
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestAdmission.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestAdmission.java
@@ -29,7 +29,7 @@
 import org.baykeel.gateway.ratelimit.RequestClass;
 import org.baykeel.gateway.ratelimit.RequestLimiter.Decision;
 import org.baykeel.gateway.residency.Residency;
-import org.baykeel.gateway.scheduling.BackendChooser;
+import org.baykeel.gateway.scheduling.BackendSelector;
 import org.baykeel.gateway.scheduling.EngineSelector;
 import org.baykeel.gateway.storage.StoreHealth;
 import org.baykeel.gateway.telemetry.GatewayMetrics;
@@ -132,7 +132,7 @@
         TestingTenancy.authenticator(() -> state.configuration().tenants(), freshness),
         this::limit,
         new EngineSelector(engines, "z", new Random(1)),
-        new BackendChooser(),
+        new BackendSelector(),
         new ProgramAdmission(engines, new Random(1), OpeningShares.EVEN, (event, fields) -> {}),
         budgets,
         new TurnHistory(store, eventLoop, 1_000, TurnSource.NONE),
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestCallAcrossRestart.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestCallAcrossRestart.java
@@ -5,7 +5,7 @@
 
 import org.baykeel.gateway.configuration.RouteKind;
 import org.baykeel.gateway.directory.Engine;
-import org.baykeel.gateway.directory.EngineStanding;
+import org.baykeel.gateway.directory.EngineHealth;
 import org.baykeel.gateway.testing.TestingResponder;
 import org.baykeel.gateway.testing.TestingTransport;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -53,6 +53,6 @@
     assertTrue(former.removed());
     assertEquals(0, former.inFlight());
     assertEquals(0, present.inFlight());
-    assertEquals(EngineStanding.TRUSTED, present.standing(node.eventLoop().nanoTime()));
+    assertEquals(EngineHealth.HEALTHY, present.health(node.eventLoop().nanoTime()));
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestCallOfSlowCaller.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestCallOfSlowCaller.java
@@ -55,12 +55,12 @@
   @Test
   void theTimeForWhichAnEngineIsNotReadIsNotItsPace() {
     Sent sent = streaming();
-    double before = node.engine().gapMillis();
+    double before = node.engine().interEventMillis();
     responder.flow().hold(CALL_BYTES);
     node.eventLoop().advance(1_500);
     responder.flow().taken(CALL_BYTES);
     sent.event(2);
-    assertEquals(before, node.engine().gapMillis());
+    assertEquals(before, node.engine().interEventMillis());
   }
 
   @Test
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestClientCall.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestClientCall.java
@@ -28,7 +28,7 @@
 import org.baykeel.gateway.history.TurnSource;
 import org.baykeel.gateway.ratelimit.RequestLimiter;
 import org.baykeel.gateway.residency.Residency;
-import org.baykeel.gateway.scheduling.BackendChooser;
+import org.baykeel.gateway.scheduling.BackendSelector;
 import org.baykeel.gateway.scheduling.EngineSelector;
 import org.baykeel.gateway.storage.StoreHealth;
 import org.baykeel.gateway.telemetry.GatewayMetrics;
@@ -40,7 +40,7 @@
 import org.baykeel.gateway.testing.TestingTransport;
 import org.baykeel.gateway.testing.TestingTransport.Sent;
 import org.baykeel.gateway.urgency.ProgramUrgency;
-import org.baykeel.gateway.urgency.Standing;
+import org.baykeel.gateway.urgency.UrgencyLevel;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -76,7 +76,7 @@
             TestingTenancy.withoutKeys(eventLoop),
             RequestLimiter.NONE,
             new EngineSelector(engines, "z", new Random(1)),
-            new BackendChooser(),
+            new BackendSelector(),
             admission,
             new ProgramBudgets(store, eventLoop, new GrantIds(1), GrantSource.NONE),
             new TurnHistory(store, eventLoop, 1 << 20, TurnSource.NONE),
@@ -188,16 +188,16 @@
   @Test
   void aTurnIsSentWithARankThatFollowsWhatIsLeftOfItsProgramsTime() {
     call("/once/", "r1", null, "p", "p", -1, 900);
-    assertEquals(Standing.OPENING.rank(1), transport.last().request().rank());
+    assertEquals(UrgencyLevel.STARTING.rank(1), transport.last().request().rank());
     eventLoop.advance(100);
     call("/once/", "r4", null, "p", "p", -1, 800);
-    assertEquals(Standing.UNDER_WAY.rank(1), transport.last().request().rank());
+    assertEquals(UrgencyLevel.UNDER_WAY.rank(1), transport.last().request().rank());
     eventLoop.advance(600);
     transport.last().notExecuted();
-    assertEquals(Standing.ENDING.rank(1), transport.last().request().rank());
+    assertEquals(UrgencyLevel.NEAR_TARGET.rank(1), transport.last().request().rank());
     eventLoop.advance(200);
     transport.last().notExecuted();
-    assertEquals(Standing.LATE.rank(1), transport.last().request().rank());
+    assertEquals(UrgencyLevel.LATE.rank(1), transport.last().request().rank());
   }
 
   @Test
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestGatewayState.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestGatewayState.java
@@ -143,7 +143,7 @@
     state.putEngine(born(1_000));
     state.putEngine(born(1_000));
     state.putEngine(born(2_000));
-    engines.bornElsewhere(new EngineId("a"), 3_000, eventLoop.nanoTime());
+    engines.adoptStartTime(new EngineId("a"), 3_000, eventLoop.nanoTime());
     assertEquals(2, events.stream().filter(GatewayEvent.ENGINE_RESTARTED::equals).count());
   }
 
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestRoomOfTools.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestRoomOfTools.java
@@ -28,7 +28,7 @@
 import org.baykeel.gateway.history.TurnSource;
 import org.baykeel.gateway.ratelimit.RequestLimiter;
 import org.baykeel.gateway.residency.Residency;
-import org.baykeel.gateway.scheduling.BackendChooser;
+import org.baykeel.gateway.scheduling.BackendSelector;
 import org.baykeel.gateway.scheduling.EngineSelector;
 import org.baykeel.gateway.storage.StoreHealth;
 import org.baykeel.gateway.telemetry.GatewayMetrics;
@@ -126,7 +126,7 @@
       directory.put(engine(i, false));
     }
     for (int i = 0; i < 200; i++) {
-      directory.performanceOf("s").observeWork(WORK_MILLIS);
+      directory.performanceOf("s").observeNonStream(WORK_MILLIS);
     }
     GatewayState state = new GatewayState(eventLoop, storeHealth, directory, (event, fields) -> {});
     state.offer(
@@ -139,7 +139,7 @@
             TestingTenancy.withoutKeys(eventLoop),
             RequestLimiter.NONE,
             new EngineSelector(directory, "z", new SplittableRandom(number)),
-            new BackendChooser(),
+            new BackendSelector(),
             new ProgramAdmission(directory, random, OpeningShares.EVEN, (event, fields) -> {}),
             new ProgramBudgets(store, eventLoop, new GrantIds(number), GrantSource.NONE),
             new TurnHistory(store, eventLoop, 1 << 20, TurnSource.NONE),
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/cordon/TestZoneCordons.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/cordon/TestZoneCordons.java
@@ -23,7 +23,7 @@
       new ZoneCordons(BOUND_MILLIS, eventLoop, (event, fields) -> events.add(event));
 
   private void provenNow() {
-    cordons.proven(eventLoop.nanoTime());
+    cordons.recordProof(eventLoop.nanoTime());
   }
 
   /** How many of some lines that are spread evenly may still have a turn in zone a. */
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/directory/TestEngineRestart.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/directory/TestEngineRestart.java
@@ -55,7 +55,7 @@
     engine.failed(NOW);
     engine.failed(NOW);
     engine.observeWait(400, NOW);
-    engine.observeGap(90);
+    engine.observeInterEventTime(90);
     engine.requestStarted(NOW);
     return engine;
   }
@@ -63,9 +63,9 @@
   private void assertNothingIsBelieved(Engine engine) {
     assertFalse(engine.cachedPrefixes().contains("a1"));
     assertFalse(engine.load().known(NOW));
-    assertEquals(EngineStanding.TRUSTED, engine.standing(NOW));
+    assertEquals(EngineHealth.HEALTHY, engine.health(NOW));
     assertEquals(0, engine.waitMillis(NOW));
-    assertEquals(engine.performance().gapMillis(), engine.gapMillis());
+    assertEquals(engine.performance().interEventMillis(), engine.interEventMillis());
     assertEquals(0, engine.inFlight());
   }
 
@@ -81,7 +81,7 @@
   @ValueSource(booleans = {true, false})
   void aLifeThatOnlyAReportToldOfCountsAsColdUntilItsEntryComes(boolean cold) {
     put(BORN);
-    directory.bornElsewhere(ID, BORN_AGAIN, NOW);
+    directory.adoptStartTime(ID, BORN_AGAIN, NOW);
     Engine present = directory.find(ID);
     assertTrue(present.cold(NOW));
     directory.put(entry(BORN, 4, 0), NOW);
@@ -93,7 +93,7 @@
   @Test
   void anEntryThatDoesNotComeLeavesNoEngineColdForGood() {
     put(BORN);
-    directory.bornElsewhere(ID, BORN_AGAIN, NOW);
+    directory.adoptStartTime(ID, BORN_AGAIN, NOW);
     assertTrue(directory.find(ID).cold(NOW + 2_999_000_000L));
     assertFalse(directory.find(ID).cold(NOW + 3_000_000_000L));
   }
@@ -105,7 +105,7 @@
     if (source == EngineRestartListener.Source.ENTRY) {
       put(BORN_AGAIN);
     } else {
-      assertTrue(directory.bornElsewhere(ID, BORN_AGAIN, NOW));
+      assertTrue(directory.adoptStartTime(ID, BORN_AGAIN, NOW));
     }
     Engine present = directory.find(ID);
     assertNotSame(former, present);
@@ -148,7 +148,7 @@
   @Test
   void theEntryOfALifeThatAReportToldFirstIsAdoptedWithoutANewStart() {
     experienced();
-    directory.bornElsewhere(ID, BORN_AGAIN, NOW);
+    directory.adoptStartTime(ID, BORN_AGAIN, NOW);
     Engine present = directory.find(ID);
     present.cachedPrefixes().add(PROMPT);
     directory.put(entry(BORN, 4, 0), NOW);
@@ -163,21 +163,21 @@
   @Test
   void aReportOfAnEarlierLifeIsNotBelieved() {
     Engine present = put(BORN_AGAIN);
-    assertFalse(directory.bornElsewhere(ID, BORN, NOW));
-    assertTrue(directory.bornElsewhere(ID, BORN_AGAIN, NOW));
-    assertTrue(directory.bornElsewhere(ID, 0, NOW));
-    assertFalse(directory.bornElsewhere(new EngineId("other"), BORN, NOW));
+    assertFalse(directory.adoptStartTime(ID, BORN, NOW));
+    assertTrue(directory.adoptStartTime(ID, BORN_AGAIN, NOW));
+    assertTrue(directory.adoptStartTime(ID, 0, NOW));
+    assertFalse(directory.adoptStartTime(new EngineId("other"), BORN, NOW));
     assertSame(present, directory.find(ID));
   }
 
   @Test
   void aStartThatIsToldLateIsThatOfTheKnownLife() {
     Engine known = put(0);
-    assertTrue(directory.bornElsewhere(ID, BORN, NOW));
+    assertTrue(directory.adoptStartTime(ID, BORN, NOW));
     directory.put(entry(0, 9, 0), NOW);
     assertSame(known, directory.find(ID));
-    assertEquals(BORN, known.record().bornMillis());
-    assertTrue(directory.bornElsewhere(ID, BORN_AGAIN, NOW));
+    assertEquals(BORN, known.record().startMillis());
+    assertTrue(directory.adoptStartTime(ID, BORN_AGAIN, NOW));
     assertNotSame(known, directory.find(ID));
   }
 
@@ -189,15 +189,15 @@
     former.failed(NOW);
     former.failed(NOW);
     assertEquals(List.of(), suspected);
-    assertEquals(EngineStanding.TRUSTED, present.standing(NOW));
+    assertEquals(EngineHealth.HEALTHY, present.health(NOW));
   }
 
   @Test
   void whatOthersSuspectOfAFormerLifeFadesWithTime() {
     Engine present = put(BORN_AGAIN);
-    present.suspectedElsewhere(NOW);
-    assertEquals(EngineStanding.SUSPECT, present.standing(NOW));
-    assertEquals(EngineStanding.TRUSTED, present.standing(NOW + 1_500_000_000));
+    present.suspectedByPeer(NOW);
+    assertEquals(EngineHealth.SUSPECT, present.health(NOW));
+    assertEquals(EngineHealth.HEALTHY, present.health(NOW + 1_500_000_000));
   }
 
   @Test
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/LoopbackGateway.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/LoopbackGateway.java
@@ -29,7 +29,7 @@
 import org.baykeel.gateway.history.TurnHistory;
 import org.baykeel.gateway.history.TurnSource;
 import org.baykeel.gateway.ratelimit.RequestLimiter;
-import org.baykeel.gateway.scheduling.BackendChooser;
+import org.baykeel.gateway.scheduling.BackendSelector;
 import org.baykeel.gateway.scheduling.EngineSelector;
 import org.baykeel.gateway.storage.StoreHealth;
 import org.baykeel.gateway.telemetry.GatewayEvent;
@@ -71,7 +71,7 @@
             TestingTenancy.withoutKeys(eventLoop),
             RequestLimiter.NONE,
             new EngineSelector(engines, "z", new Random(1)),
-            new BackendChooser(),
+            new BackendSelector(),
             new ProgramAdmission(engines, new Random(1), OpeningShares.EVEN, (event, fields) -> {}),
             new ProgramBudgets(store, eventLoop, new GrantIds(1), GrantSource.NONE),
             new TurnHistory(store, eventLoop, 1_000, TurnSource.NONE),
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestHttpLoadReports.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestHttpLoadReports.java
@@ -17,7 +17,7 @@
 import org.baykeel.gateway.directory.EngineDirectory;
 import org.baykeel.gateway.directory.EngineLoad;
 import org.baykeel.gateway.directory.EngineRecord;
-import org.baykeel.gateway.load.LoadAnswer;
+import org.baykeel.gateway.load.LoadQueryResult;
 import org.baykeel.gateway.load.LoadReport;
 import org.baykeel.gateway.load.LoadReportFormat;
 import org.baykeel.gateway.telemetry.GatewayMetrics;
@@ -62,8 +62,8 @@
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final HttpLoadReports reports =
-      new HttpLoadReports(
+  private final HttpLoadReportClient reports =
+      new HttpLoadReportClient(
           group,
           FORMAT,
           new RoundTrips(Topology.ofOneRegion("z")),
@@ -81,13 +81,13 @@
     return directory.ofService("s").get(0);
   }
 
-  private CompletableFuture<LoadAnswer> begin(Engine engine) {
-    CompletableFuture<LoadAnswer> answer = new CompletableFuture<>();
-    group.next().execute(() -> reports.ask(engine, answer::complete));
+  private CompletableFuture<LoadQueryResult> begin(Engine engine) {
+    CompletableFuture<LoadQueryResult> answer = new CompletableFuture<>();
+    group.next().execute(() -> reports.query(engine, answer::complete));
     return answer;
   }
 
-  private LoadAnswer ask(Engine engine) throws Exception {
+  private LoadQueryResult ask(Engine engine) throws Exception {
     return begin(engine).get(20, TimeUnit.SECONDS);
   }
 
@@ -96,7 +96,8 @@
     try (ScriptedEngine server = new ScriptedEngine(new Answer(REPORT, After.KEEP))) {
       Engine engine = engineAt(server.port());
       for (int i = 0; i < 3; i++) {
-        LoadAnswer.Reported told = assertInstanceOf(LoadAnswer.Reported.class, ask(engine));
+        LoadQueryResult.Reported told =
+            assertInstanceOf(LoadQueryResult.Reported.class, ask(engine));
         assertEquals(new LoadReport(new EngineLoad(0, 7, 0, 0), 5), told.report());
         long ageMillis = (System.nanoTime() - told.asOfNanos()) / 1_000_000;
         assertTrue(ageMillis >= LAG_MILLIS, "a report tells the past: " + ageMillis);
@@ -113,7 +114,7 @@
       ask(engine);
       Thread.sleep(UNUSED_MILLIS);
       assertEquals(0, server.open());
-      assertInstanceOf(LoadAnswer.Reported.class, ask(engine));
+      assertInstanceOf(LoadQueryResult.Reported.class, ask(engine));
       assertEquals(2, server.connections());
     }
   }
@@ -122,7 +123,7 @@
   @CsvSource({
     "404 Not Found, Unavailable[reason=status 404]",
     "403 Forbidden, Unavailable[reason=status 403]",
-    "503 Unavailable, Lost[reason=status 503]",
+    "503 Unavailable, NoResponse[reason=status 503]",
   })
   void anErrorIsNoReport(String status, String expected) throws Exception {
     String bytes = "HTTP/1.1 " + status + "\r\nContent-Length: 0\r\n\r\n";
@@ -135,7 +136,7 @@
   void bytesThatAreNoReportAreSaidToBeNone() throws Exception {
     String bytes = REPORT.replace("7", "x");
     try (ScriptedEngine server = new ScriptedEngine(new Answer(bytes, After.KEEP))) {
-      assertEquals(new LoadAnswer.Unavailable("no report"), ask(engineAt(server.port())));
+      assertEquals(new LoadQueryResult.Unavailable("no report"), ask(engineAt(server.port())));
     }
   }
 
@@ -144,8 +145,8 @@
     try (ScriptedEngine server =
         new ScriptedEngine(new Answer("", After.CLOSE), new Answer(REPORT, After.KEEP))) {
       Engine engine = engineAt(server.port());
-      assertInstanceOf(LoadAnswer.Lost.class, ask(engine));
-      assertInstanceOf(LoadAnswer.Reported.class, ask(engine));
+      assertInstanceOf(LoadQueryResult.NoResponse.class, ask(engine));
+      assertInstanceOf(LoadQueryResult.Reported.class, ask(engine));
     }
   }
 
@@ -153,11 +154,12 @@
   void aSilentEngineIsGivenUpAndNotAskedTwiceMeanwhile() throws Exception {
     try (ScriptedEngine server = new ScriptedEngine(new Answer("", After.KEEP))) {
       Engine engine = engineAt(server.port());
-      CompletableFuture<LoadAnswer> first = begin(engine);
-      CompletableFuture<LoadAnswer> second = begin(engine);
+      CompletableFuture<LoadQueryResult> first = begin(engine);
+      CompletableFuture<LoadQueryResult> second = begin(engine);
       assertEquals(
-          new LoadAnswer.Lost("a question is under way"), second.get(20, TimeUnit.SECONDS));
-      assertEquals(new LoadAnswer.Lost("time-out"), first.get(20, TimeUnit.SECONDS));
+          new LoadQueryResult.NoResponse("a question is under way"),
+          second.get(20, TimeUnit.SECONDS));
+      assertEquals(new LoadQueryResult.NoResponse("time-out"), first.get(20, TimeUnit.SECONDS));
       assertEquals(1, server.requests().size());
     }
   }
@@ -168,6 +170,6 @@
     try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       port = closed.getLocalPort();
     }
-    assertInstanceOf(LoadAnswer.Lost.class, ask(engineAt(port)));
+    assertInstanceOf(LoadQueryResult.NoResponse.class, ask(engineAt(port)));
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/load/LoadRegion.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/load/SimulatedRegion.java
@@ -25,7 +25,7 @@
 import org.baykeel.gateway.topology.Topology;
 
 /** Nodes and engines of one region, and of another if a test adds some, in virtual time. */
-final class LoadRegion {
+final class SimulatedRegion {
   static final int SLOTS = 16;
   static final EngineLoad CALM = new EngineLoad(0, 2, 10, 100);
   static final EngineLoad LOADED = new EngineLoad(3, 16, 90, 100);
@@ -51,7 +51,7 @@
     final EngineDirectory engines = new EngineDirectory(1);
     final PeerDirectory peers;
     final GatewayMetrics metrics = new GatewayMetrics();
-    final SharedLoad sharedLoad;
+    final LoadSharing sharedLoad;
     final List<GatewayEvent> events = new ArrayList<>();
     private boolean gone;
 
@@ -71,7 +71,7 @@
           new PeerDirectory(
               name, address, store, eventLoop, transport, codec, topology, (event, fields) -> {});
       sharedLoad =
-          new SharedLoad(
+          new LoadSharing(
               address,
               engines,
               peers,
@@ -80,7 +80,7 @@
               topology,
               (engine, answer) -> {
                 if (!gone) {
-                  reports.of(name).ask(engine, answer);
+                  reports.of(name).query(engine, answer);
                 }
               },
               PeerDistance.NONE,
@@ -127,7 +127,7 @@
   }
 
   /** A region whose nodes know each other and whose engines are all alike. */
-  LoadRegion(int nodeCount, int engineCount, EngineLoad load) {
+  SimulatedRegion(int nodeCount, int engineCount, EngineLoad load) {
     this.engineCount = engineCount;
     IntStream.range(0, engineCount).forEach(i -> reports.set("e" + i, load));
     IntStream.range(0, nodeCount).forEach(i -> nodes.add(new Node(i, ZONE)));
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/load/TestHerding.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/load/TestHerding.java
@@ -15,10 +15,11 @@
 class TestHerding {
   private static final int NODES = 77;
   private static final int ENGINES = 31;
-  private static final int HALF = LoadRegion.SLOTS / 2;
+  private static final int HALF = SimulatedRegion.SLOTS / 2;
   private static final String EMPTY = "e0";
 
-  private final LoadRegion region = new LoadRegion(NODES, ENGINES, new EngineLoad(0, HALF, 0, 0));
+  private final SimulatedRegion region =
+      new SimulatedRegion(NODES, ENGINES, new EngineLoad(0, HALF, 0, 0));
   private final Random random = new Random(36);
 
   @BeforeEach
@@ -37,7 +38,7 @@
     return engine.record().id().equals(EMPTY);
   }
 
-  private Engine leastLoaded(LoadRegion.Node node) {
+  private Engine leastLoaded(SimulatedRegion.Node node) {
     Engine least = node.engine(EMPTY);
     for (int i = 1; i < ENGINES; i++) {
       Engine candidate = node.engine("e" + i);
@@ -46,7 +47,7 @@
     return least;
   }
 
-  private Engine lessLoadedOfTwo(LoadRegion.Node node) {
+  private Engine lessLoadedOfTwo(SimulatedRegion.Node node) {
     Engine one = node.engine("e" + random.nextInt(ENGINES));
     Engine other = node.engine("e" + random.nextInt(ENGINES));
     return requestsOf(one) <= requestsOf(other) ? one : other;
@@ -55,7 +56,7 @@
   /** A node that is asked for much at once fills the engine up to the others, and no further. */
   @Test
   void oneNodesBurstDoesNotAllGoToTheEngineThatLooksEmpty() {
-    LoadRegion.Node node = region.nodes.get(5);
+    SimulatedRegion.Node node = region.nodes.get(5);
     int requests = 60;
     int level = (int) Math.ceil((double) (HALF * (ENGINES - 1) + requests) / ENGINES);
     int sent = 0;
@@ -73,10 +74,10 @@
     for (int millis = 0; millis < 300; millis += 5) {
       region.eventLoop.advance(5);
       for (int request = 0; request < 6; request++) {
-        LoadRegion.Node node = region.nodes.get(random.nextInt(NODES));
+        SimulatedRegion.Node node = region.nodes.get(random.nextInt(NODES));
         sent += sentToEmpty(lessLoadedOfTwo(node)) ? 1 : 0;
       }
     }
-    assertTrue(sent > 0 && sent <= 2 * LoadRegion.SLOTS, "sent " + sent);
+    assertTrue(sent > 0 && sent <= 2 * SimulatedRegion.SLOTS, "sent " + sent);
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/load/TestLoadBoard.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/load/TestLoadBoard.java
@@ -19,12 +19,12 @@
 
   private final TestingEventLoop eventLoop = new TestingEventLoop();
   private final EngineDirectory engines = new EngineDirectory(1);
-  private final LoopStall stall = new LoopStall(TICK_NANOS, eventLoop.nanoTime());
+  private final EventLoopLag stall = new EventLoopLag(TICK_NANOS, eventLoop.nanoTime());
 
   private long ageMillisOfNotice(long toldAgeMillis, long roundTripMillis) {
-    engines.put(LoadRegion.record(ENGINE.value()));
-    LoadBoard board =
-        new LoadBoard(
+    engines.put(SimulatedRegion.record(ENGINE.value()));
+    LoadView board =
+        new LoadView(
             engines,
             new RendezvousOrder(SELF, () -> List.of(PEER)),
             peer -> roundTripMillis,
@@ -33,7 +33,7 @@
     board.onMessage(
         PEER,
         new PeerMessage.EngineLoadNotice(
-            List.of(new PeerMessage.ReportedLoad(ENGINE, toldAgeMillis, 0, LoadRegion.CALM))));
+            List.of(new PeerMessage.ReportedLoad(ENGINE, toldAgeMillis, 0, SimulatedRegion.CALM))));
     return engines.find(ENGINE).load().ageNanos(eventLoop.nanoTime()) / 1_000_000;
   }
 
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/load/TestSharedLoad.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/load/TestSharedLoad.java
@@ -33,11 +33,11 @@
   @ParameterizedTest(name = "{0} running of 16")
   @CsvSource({"2, 800", "12, 300"})
   void allNodesKnowAllEnginesAndOneNodeAsksEach(int running, long oldestMillis) {
-    LoadRegion region = new LoadRegion(9, 12, new EngineLoad(0, running, 10, 100));
+    SimulatedRegion region = new SimulatedRegion(9, 12, new EngineLoad(0, running, 10, 100));
     for (int i = 0; i < 12; i++) {
       String engine = "e" + i;
       assertEquals(1, new HashSet<>(region.askers(engine, 1_000)).size(), engine);
-      for (LoadRegion.Node node : region.nodes) {
+      for (SimulatedRegion.Node node : region.nodes) {
         assertEquals(running, node.seen(engine));
         assertTrue(node.ageMillis(engine) <= oldestMillis, engine + " " + node.ageMillis(engine));
       }
@@ -50,8 +50,8 @@
   @ParameterizedTest(name = "after {0} ms")
   @ValueSource(longs = {0, 90, 210, 340, 470, 600, 690, 740})
   void aReporterThatDiesIsReplacedWithinASecond(long millis) {
-    for (EngineLoad load : List.of(LoadRegion.CALM, LoadRegion.LOADED)) {
-      LoadRegion region = new LoadRegion(9, 3, load);
+    for (EngineLoad load : List.of(SimulatedRegion.CALM, SimulatedRegion.LOADED)) {
+      SimulatedRegion region = new SimulatedRegion(9, 3, load);
       region.eventLoop.advance(millis);
       region.reporterOf("e1").kill();
       region.reports.set("e1", CHANGED);
@@ -62,16 +62,16 @@
 
   @Test
   void aSubstituteGoesOnAtTheUsualPaceAndStopsWhenTheFirstIsBack() {
-    LoadRegion region = new LoadRegion(9, 3, LoadRegion.LOADED);
-    LoadRegion.Node first = region.reporterOf("e1");
+    SimulatedRegion region = new SimulatedRegion(9, 3, SimulatedRegion.LOADED);
+    SimulatedRegion.Node first = region.reporterOf("e1");
     first.kill();
     region.eventLoop.advance(1_000);
-    LoadRegion.Node substitute = region.reporterOf("e1");
+    SimulatedRegion.Node substitute = region.reporterOf("e1");
     List<String> meanwhile = region.askers("e1", 2_000);
     assertEquals(Set.of(substitute.name), Set.copyOf(meanwhile));
     assertTrue(meanwhile.size() >= 8, "asked " + meanwhile.size());
     assertEquals(List.of(GatewayEvent.LOAD_REPORTER_CHANGED), substitute.events);
-    LoadRegion.Node back = region.start(Integer.parseInt(first.name.substring(1)));
+    SimulatedRegion.Node back = region.start(Integer.parseInt(first.name.substring(1)));
     region.eventLoop.advance(1_500);
     assertEquals(Set.of(back.name), Set.copyOf(region.askers("e1", 2_000)));
     assertEquals(2, substitute.events.size());
@@ -79,7 +79,7 @@
 
   @Test
   void theThirdNodeStepsInWhenTwoAreGone() {
-    LoadRegion region = new LoadRegion(9, 3, LoadRegion.CALM);
+    SimulatedRegion region = new SimulatedRegion(9, 3, SimulatedRegion.CALM);
     region.reporterOf("e1").kill();
     region.eventLoop.advance(1_500);
     region.reporterOf("e1").kill();
@@ -90,13 +90,13 @@
 
   @Test
   void theSecondNodeTakesOverFromTheThirdWhenItIsBack() {
-    LoadRegion region = new LoadRegion(9, 3, LoadRegion.CALM);
+    SimulatedRegion region = new SimulatedRegion(9, 3, SimulatedRegion.CALM);
     region.reporterOf("e1").kill();
     region.eventLoop.advance(1_500);
-    LoadRegion.Node second = region.reporterOf("e1");
+    SimulatedRegion.Node second = region.reporterOf("e1");
     second.kill();
     region.eventLoop.advance(1_500);
-    LoadRegion.Node third = region.reporterOf("e1");
+    SimulatedRegion.Node third = region.reporterOf("e1");
     region.start(Integer.parseInt(second.name.substring(1)));
     region.eventLoop.advance(4_000);
     assertEquals(Set.of(second.name), Set.copyOf(region.askers("e1", 1_500)));
@@ -105,9 +105,9 @@
 
   @Test
   void aReporterThatCanNotReachTheOthersIsReplacedThere() {
-    LoadRegion region = new LoadRegion(9, 3, LoadRegion.CALM);
-    LoadRegion.Node reporter = region.reporterOf("e1");
-    List<LoadRegion.Node> others = new ArrayList<>(region.nodes);
+    SimulatedRegion region = new SimulatedRegion(9, 3, SimulatedRegion.CALM);
+    SimulatedRegion.Node reporter = region.reporterOf("e1");
+    List<SimulatedRegion.Node> others = new ArrayList<>(region.nodes);
     others.remove(reporter);
     region.cut(List.of(reporter), others, true);
     region.reports.set("e1", CHANGED);
@@ -117,16 +117,16 @@
 
   @Test
   void bothSidesOfACutKnowTheEnginesAndOneNodeAsksWhenItIsHealed() {
-    LoadRegion region = new LoadRegion(20, 10, LoadRegion.CALM);
-    List<LoadRegion.Node> left = region.nodes.subList(0, 10);
-    List<LoadRegion.Node> right = region.nodes.subList(10, 20);
+    SimulatedRegion region = new SimulatedRegion(20, 10, SimulatedRegion.CALM);
+    List<SimulatedRegion.Node> left = region.nodes.subList(0, 10);
+    List<SimulatedRegion.Node> right = region.nodes.subList(10, 20);
     region.cut(left, right, true);
     region.eventLoop.advance(2_500);
     for (int i = 0; i < 10; i++) {
       region.reports.set("e" + i, CHANGED);
     }
     region.eventLoop.advance(1_000);
-    for (LoadRegion.Node node : region.nodes) {
+    for (SimulatedRegion.Node node : region.nodes) {
       for (int i = 0; i < 10; i++) {
         assertEquals(5, node.seen("e" + i), node.name + " e" + i);
       }
@@ -140,13 +140,14 @@
 
   @Test
   void eachRegionHasAReporterAndAnEngineElsewhereIsAskedSlowly() {
-    LoadRegion region = new LoadRegion(6, 0, LoadRegion.CALM);
+    SimulatedRegion region = new SimulatedRegion(6, 0, SimulatedRegion.CALM);
     for (int i = 0; i < 3; i++) {
-      region.start(50 + i, LoadRegion.ZONE_OF_OTHER_REGION);
+      region.start(50 + i, SimulatedRegion.ZONE_OF_OTHER_REGION);
     }
-    region.reports.set("far", LoadRegion.LOADED);
+    region.reports.set("far", SimulatedRegion.LOADED);
     region.nodes.forEach(
-        node -> node.engines.put(LoadRegion.record("far", LoadRegion.ZONE_OF_OTHER_REGION)));
+        node ->
+            node.engines.put(SimulatedRegion.record("far", SimulatedRegion.ZONE_OF_OTHER_REGION)));
     region.eventLoop.advance(4_000);
     List<String> askers = region.askers("far", 7_000);
     region.nodes.forEach(node -> assertEquals(19, node.seen("far"), node.name));
@@ -158,11 +159,11 @@
 
   @Test
   void lossOfDatagramsLeavesTheViewInPlace() {
-    LoadRegion region = new LoadRegion(20, 10, LoadRegion.LOADED);
+    SimulatedRegion region = new SimulatedRegion(20, 10, SimulatedRegion.LOADED);
     region.network.lose(0.2, new java.util.Random(7));
     for (int second = 0; second < 10; second++) {
       region.eventLoop.advance(1_000);
-      for (LoadRegion.Node node : region.nodes) {
+      for (SimulatedRegion.Node node : region.nodes) {
         for (int i = 0; i < 10; i++) {
           assertTrue(node.seen("e" + i) >= 0, node.name + " e" + i);
         }
@@ -172,10 +173,10 @@
 
   @Test
   void aViewThatIsNotRenewedFadesToNothingKnown() {
-    LoadRegion region = new LoadRegion(3, 1, LoadRegion.LOADED);
+    SimulatedRegion region = new SimulatedRegion(3, 1, SimulatedRegion.LOADED);
     region.reports.silence("e0");
     region.eventLoop.advance(2_000);
-    LoadRegion.Node node = region.nodes.get(0);
+    SimulatedRegion.Node node = region.nodes.get(0);
     assertEquals(19, node.seen("e0"));
     region.eventLoop.advance(1_000);
     assertEquals(-1, node.seen("e0"));
@@ -187,8 +188,8 @@
   @ParameterizedTest(name = "told {0} ms late after one of {1} ms: {2}")
   @CsvSource({"100, 400, 7", "400, 100, 9", "2600, 100, 9", "100, 100, 9"})
   void theNewestReportWinsWhoeverToldIt(long age, long ageBefore, int expected) {
-    LoadRegion region = new LoadRegion(0, 1, LoadRegion.CALM);
-    LoadRegion.Node node = region.start(1);
+    SimulatedRegion region = new SimulatedRegion(0, 1, SimulatedRegion.CALM);
+    SimulatedRegion.Node node = region.start(1);
     region.eventLoop.advance(10);
     node.sharedLoad.onMessage(STRANGER, told(ageBefore, 0, 9));
     node.sharedLoad.onMessage(STRANGER, told(age, 0, 7));
@@ -197,8 +198,8 @@
 
   @Test
   void aNoticeThatIsTooOldIsNoNews() {
-    LoadRegion region = new LoadRegion(0, 1, LoadRegion.CALM);
-    LoadRegion.Node node = region.start(1);
+    SimulatedRegion region = new SimulatedRegion(0, 1, SimulatedRegion.CALM);
+    SimulatedRegion.Node node = region.start(1);
     node.sharedLoad.onMessage(STRANGER, told(2_500, 0, 9));
     assertEquals(-1, node.seen("e0"));
     node.sharedLoad.onMessage(STRANGER, told(2_400, 0, 9));
@@ -209,8 +210,8 @@
 
   @Test
   void aNoticeOfAnEarlierLifeOfTheEngineIsNoNews() {
-    LoadRegion region = new LoadRegion(0, 1, LoadRegion.CALM);
-    LoadRegion.Node node = region.start(1);
+    SimulatedRegion region = new SimulatedRegion(0, 1, SimulatedRegion.CALM);
+    SimulatedRegion.Node node = region.start(1);
     node.sharedLoad.onMessage(STRANGER, told(50, 1_000, 9));
     node.sharedLoad.onMessage(STRANGER, told(60, 2_000, 1));
     assertEquals(1, node.seen("e0"), "a later life counts, also when it was told later");
@@ -220,20 +221,20 @@
 
   @Test
   void anEngineWithoutReportsIsAskedByFewNodesAndRarely() {
-    LoadRegion region = new LoadRegion(40, 0, LoadRegion.CALM);
-    region.nodes.forEach(node -> node.engines.put(LoadRegion.record("tool")));
+    SimulatedRegion region = new SimulatedRegion(40, 0, SimulatedRegion.CALM);
+    region.nodes.forEach(node -> node.engines.put(SimulatedRegion.record("tool")));
     List<String> askers = region.askers("tool", 29_000);
     assertTrue(askers.size() <= 5, "asked " + askers);
     assertEquals(askers.size(), Set.copyOf(askers).size());
     assertTrue(region.askers("tool", 30_000).size() <= 5);
-    LoadRegion.Node first =
+    SimulatedRegion.Node first =
         region.nodes.stream().filter(n -> n.name.equals(askers.get(0))).findFirst().orElseThrow();
     assertTrue(first.events.contains(GatewayEvent.LOAD_REPORT_UNAVAILABLE));
   }
 
   @Test
   void anEngineThatAnswersNobodyIsAskedMoreAndMoreRarely() {
-    LoadRegion region = new LoadRegion(40, 1, LoadRegion.LOADED);
+    SimulatedRegion region = new SimulatedRegion(40, 1, SimulatedRegion.LOADED);
     region.reports.silence("e0");
     region.eventLoop.advance(20_000);
     List<String> askers = region.askers("e0", 10_000);
@@ -243,7 +244,7 @@
 
   @Test
   void aLostAnswerIsNotAskedForAgainBeforeTheNextRound() {
-    LoadRegion region = new LoadRegion(1, 1, LoadRegion.LOADED);
+    SimulatedRegion region = new SimulatedRegion(1, 1, SimulatedRegion.LOADED);
     region.reports.silence("e0");
     region.eventLoop.advance(150);
     int before = region.reports.questions().size();
@@ -253,23 +254,23 @@
 
   @Test
   void ownRequestsThatAreUnderWayMakeAnEngineAskedMoreOften() {
-    LoadRegion region = new LoadRegion(1, 1, LoadRegion.CALM);
+    SimulatedRegion region = new SimulatedRegion(1, 1, SimulatedRegion.CALM);
     int calm = region.askers("e0", 2_100).size();
     Engine engine = region.nodes.get(0).engine("e0");
     for (int i = 0; i < 40; i++) {
       region.eventLoop.advance(50);
       engine.requestStarted(region.eventLoop.nanoTime());
     }
-    region.reports.set("e0", LoadRegion.LOADED);
+    region.reports.set("e0", SimulatedRegion.LOADED);
     assertTrue(calm <= 3, "calm: " + calm);
     assertTrue(region.askers("e0", 2_000).size() >= 8);
   }
 
   @Test
   void aNodeThatDoesNotKnowTheOthersAsksNobodyAndHearsThem() {
-    LoadRegion region = new LoadRegion(5, 3, LoadRegion.CALM);
+    SimulatedRegion region = new SimulatedRegion(5, 3, SimulatedRegion.CALM);
     region.store.failReads(true);
-    LoadRegion.Node late = region.start(77);
+    SimulatedRegion.Node late = region.start(77);
     region.eventLoop.advance(3_000);
     assertTrue(
         region.reports.questions().stream().noneMatch(asked -> asked.node().equals(late.name)));
@@ -278,13 +279,13 @@
 
   @Test
   void allNodesThatStartAtOnceKnowTheEnginesAgainWithinThreeSeconds() {
-    LoadRegion region = new LoadRegion(20, 10, LoadRegion.LOADED);
-    List.copyOf(region.nodes).forEach(LoadRegion.Node::kill);
+    SimulatedRegion region = new SimulatedRegion(20, 10, SimulatedRegion.LOADED);
+    List.copyOf(region.nodes).forEach(SimulatedRegion.Node::kill);
     for (int i = 0; i < 20; i++) {
       region.start(i);
     }
     region.eventLoop.advance(3_000);
-    for (LoadRegion.Node node : region.nodes) {
+    for (SimulatedRegion.Node node : region.nodes) {
       for (int i = 0; i < 10; i++) {
         assertEquals(19, node.seen("e" + i));
       }
@@ -293,15 +294,15 @@
 
   @Test
   void enginesOfOneNodeAreToldTogether() {
-    LoadRegion region = new LoadRegion(2, 0, LoadRegion.CALM);
+    SimulatedRegion region = new SimulatedRegion(2, 0, SimulatedRegion.CALM);
     for (int i = 0; i < 20; i++) {
       String engine = "e" + i;
-      region.reports.set(engine, LoadRegion.CALM);
-      region.nodes.forEach(node -> node.engines.put(LoadRegion.record(engine)));
+      region.reports.set(engine, SimulatedRegion.CALM);
+      region.nodes.forEach(node -> node.engines.put(SimulatedRegion.record(engine)));
       region.eventLoop.advance(130);
     }
     region.eventLoop.advance(2_000);
-    LoadRegion.Node node = region.nodes.get(0);
+    SimulatedRegion.Node node = region.nodes.get(0);
     long before = node.figure("datagrams_sent");
     region.eventLoop.advance(7_000);
     long rounds = 7_000 / 700;
@@ -312,13 +313,14 @@
 
   @Test
   void bytesOfEachNodeStayWithinTheirBudgetWhenAllEnginesAreLoaded() {
-    LoadRegion region = new LoadRegion(77, 40, LoadRegion.LOADED);
+    SimulatedRegion region = new SimulatedRegion(77, 40, SimulatedRegion.LOADED);
     int seconds = 20;
     List<Long> before = region.nodes.stream().map(node -> node.figure("sent_bytes")).toList();
     region.eventLoop.advance(seconds * 1_000);
-    long most = LoadNotices.MAX_SAVED_BYTES + seconds * LoadNotices.BYTES_PER_SECOND;
+    long most =
+        LoadNoticePublisher.MAX_SAVED_BYTES + seconds * LoadNoticePublisher.BYTES_PER_SECOND;
     for (int i = 0; i < region.nodes.size(); i++) {
-      LoadRegion.Node node = region.nodes.get(i);
+      SimulatedRegion.Node node = region.nodes.get(i);
       long sent = node.figure("sent_bytes") - before.get(i);
       assertTrue(sent <= most, node.name + " sent " + sent);
       for (int e = 0; e < 40; e++) {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestEngineSuspicionGossip.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestEngineSuspicionGossip.java
@@ -12,9 +12,9 @@
 import java.util.Optional;
 import org.baykeel.gateway.directory.Engine;
 import org.baykeel.gateway.directory.EngineDirectory;
+import org.baykeel.gateway.directory.EngineHealth;
 import org.baykeel.gateway.directory.EngineId;
 import org.baykeel.gateway.directory.EngineRecord;
-import org.baykeel.gateway.directory.EngineStanding;
 import org.baykeel.gateway.storage.RowAddress;
 import org.baykeel.gateway.testing.TestingEventLoop;
 import org.baykeel.gateway.testing.TestingPeerNetwork;
@@ -69,8 +69,8 @@
       engine().failed(eventLoop.nanoTime());
     }
 
-    EngineStanding standing() {
-      return engine().standing(eventLoop.nanoTime());
+    EngineHealth standing() {
+      return engine().health(eventLoop.nanoTime());
     }
   }
 
@@ -82,7 +82,7 @@
 
   @ParameterizedTest(name = "{0} ms after another node saw the failure: {1}")
   @CsvSource({"1, TRUSTED", "3, SUSPECT", "1400, SUSPECT", "1600, TRUSTED"})
-  void othersLearnOfAFailureAndForgetIt(long millis, EngineStanding expected) {
+  void othersLearnOfAFailureAndForgetIt(long millis, EngineHealth expected) {
     Node first = started("first", 1);
     Node second = started("second", 2);
     eventLoop.advance(2_000);
@@ -100,7 +100,7 @@
     first.engine().succeeded();
     first.engine().failed(eventLoop.nanoTime());
     eventLoop.advance(10);
-    assertEquals(EngineStanding.TRUSTED, second.standing());
+    assertEquals(EngineHealth.HEALTHY, second.standing());
   }
 
   @ParameterizedTest(name = "reported {0} times, {1} ms after the last report: {2}")
@@ -112,7 +112,7 @@
     "3, 6100, TRUSTED",
   })
   void anEngineThatOthersSuspectAgainIsDistrustedLonger(
-      int reports, long millis, EngineStanding expected) {
+      int reports, long millis, EngineHealth expected) {
     Node second = started("second", 2);
     eventLoop.advance(2_000);
     byte[] report = new PeerMessageCodec().encode(new PeerMessage.EngineSuspicion(ENGINE));
@@ -134,7 +134,7 @@
     eventLoop.advance(2_000);
     first.failTwice();
     eventLoop.advance(10);
-    assertEquals(EngineStanding.SUSPECT, later.standing());
+    assertEquals(EngineHealth.SUSPECT, later.standing());
   }
 
   @Test
@@ -148,7 +148,7 @@
     long oneNotice = network.sentBytes() - before;
     eventLoop.advance(100);
     assertEquals(before + oneNotice, network.sentBytes(), "nobody passes it on");
-    assertEquals(0, EngineStanding.SUSPECT.penaltyMillis(true, 100));
+    assertEquals(0, EngineHealth.SUSPECT.penaltyMillis(true, 100));
     assertEquals(second.standing(), third.standing());
   }
 
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/placement/TestPlacement.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/placement/TestPlacement.java
@@ -87,7 +87,7 @@
           engines.put(record(place + '-' + i, place, 0), eventLoop.nanoTime());
         }
       }
-      placement.cordons().proven(eventLoop.nanoTime());
+      placement.cordons().recordProof(eventLoop.nanoTime());
     }
 
     Engine engine(String id) {
@@ -170,7 +170,7 @@
     }
     Choice choice = node.choose(turn("p"));
     assertEquals(Locality.OTHER_REGION, choice.locality());
-    assertTrue(choice.nearMillis() < 0);
+    assertTrue(choice.inRegionMillis() < 0);
   }
 
   @Test
@@ -185,7 +185,7 @@
     waitInTheEast(node, 2_000);
     Choice spilled = node.choose(turn);
     assertEquals(Locality.OTHER_REGION, spilled.locality());
-    assertTrue(spilled.nearMillis() > spilled.predictedMillis());
+    assertTrue(spilled.inRegionMillis() > spilled.predictedMillis());
     spilled.engine().cachedPrefixes().add(prompt("p"));
     eventLoop.advance(2_000);
     assertTrue(node.choose(turn).locality().inRegion(), "after the wait");
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/ModelEngines.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/EngineSimulation.java
@@ -20,7 +20,7 @@
  * Engines with places and queues in virtual time, and nodes that send to them by what they observe
  * themselves and by reports of load that reach all of them late.
  */
-final class ModelEngines {
+final class EngineSimulation {
   static final long STEP_MILLIS = 5;
   private static final long REPORT_MILLIS = 200;
   private static final long LAG_MILLIS = 200;
@@ -87,7 +87,7 @@
 
   private record Report(long asOfMillis, List<EngineLoad> loads) {}
 
-  ModelEngines(int nodes, int count, int slots, double workMillis, boolean viewShared) {
+  EngineSimulation(int nodes, int count, int slots, double workMillis, boolean viewShared) {
     this.slots = slots;
     this.workMillis = workMillis;
     this.viewShared = viewShared;
@@ -100,9 +100,9 @@
         directory.put(new EngineRecord(engine.id, "s", "10.0.0.1", 80, "z", slots, false));
       }
       for (int i = 0; i < 200; i++) {
-        directory.performanceOf("s").observeGap(workMillis / EVENTS);
+        directory.performanceOf("s").observeInterEventTime(workMillis / EVENTS);
         directory.performanceOf("s").observeEvents(EVENTS);
-        directory.performanceOf("s").observeWork(workMillis);
+        directory.performanceOf("s").observeNonStream(workMillis);
       }
       directories.add(directory);
       selectors.add(selector(directory, node));
@@ -180,7 +180,8 @@
   private void observeEvents(Work work) {
     int events = (int) ((workMillis - Math.max(0, work.leftMillis)) * EVENTS / workMillis);
     if (events > work.events) {
-      work.seen.observeGap((nowMillis - work.lastEventMillis) / (double) (events - work.events));
+      work.seen.observeInterEventTime(
+          (nowMillis - work.lastEventMillis) / (double) (events - work.events));
       work.events = events;
       work.lastEventMillis = nowMillis;
     }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestBackendChooser.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestBackendChooser.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 class TestBackendChooser {
-  private final BackendChooser chooser = new BackendChooser();
+  private final BackendSelector chooser = new BackendSelector();
 
   private static Route route(Backend... backends) {
     return new Route(
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestDecisionsScale.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestDecisionsScale.java
@@ -63,7 +63,7 @@
     for (int i = 0; i < OBSERVATIONS; i++) {
       int unread = random.nextInt(4_000);
       performance.observeFirstEvent(unread, firstMillis + unread / speed);
-      engine.observeGap(gapMillis);
+      engine.observeInterEventTime(gapMillis);
     }
   }
 
@@ -73,9 +73,9 @@
     Engine engine = engine("e0", slots, "z");
     observe(engine, speed, first, gap);
     ServicePerformance performance = engine.performance();
-    assertEquals(4_000 / speed, performance.readingMillis(4_000), 400 / speed);
+    assertEquals(4_000 / speed, performance.prefillMillis(4_000), 400 / speed);
     assertEquals(first, performance.firstEventMillis(), 1 + first * 0.3);
-    assertEquals(gap, performance.gapMillis(), gap * 0.2);
+    assertEquals(gap, performance.interEventMillis(), gap * 0.2);
   }
 
   @ParameterizedTest
@@ -127,7 +127,7 @@
     Engine near = engine("near", 6, "z");
     engine("far", 6, "elsewhere");
     for (int i = 0; i < OBSERVATIONS; i++) {
-      near.performance().observeWork(workMillis);
+      near.performance().observeNonStream(workMillis);
     }
     Criteria criteria = new Criteria(SERVICE, List.of(), null, true);
     int sent = 0;
@@ -145,7 +145,7 @@
   void nodesThatKnowTheSameDoNotAllPickTheSameEngine(int workMillis) {
     for (int i = 0; i < 6; i++) {
       Engine engine = engine("e" + i, 6, "z");
-      engine.performance().observeWork(workMillis);
+      engine.performance().observeNonStream(workMillis);
     }
     Criteria criteria = new Criteria(SERVICE, List.of(), null, true);
     Map<String, Integer> picks = new HashMap<>();
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestEngineSelector.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestEngineSelector.java
@@ -72,8 +72,8 @@
     engines(2);
     engine("e0").cachedPrefixes().add(LONG_PROMPT);
     for (int i = 0; i < 100; i++) {
-      engine("e0").observeGap(200);
-      engine("e1").observeGap(35);
+      engine("e0").observeInterEventTime(200);
+      engine("e1").observeInterEventTime(35);
     }
     assertEquals("e1", select(LONG_PROMPT, null).record().id());
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSharedLoad.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSharedLoad.java
@@ -16,7 +16,7 @@
 import org.baykeel.gateway.directory.PromptPart;
 import org.baykeel.gateway.residency.Residency;
 import org.baykeel.gateway.scheduling.EngineSelector.Criteria;
-import org.baykeel.gateway.scheduling.ModelEngines.Work;
+import org.baykeel.gateway.scheduling.EngineSimulation.Work;
 import org.baykeel.gateway.topology.RoundTrips;
 import org.baykeel.gateway.topology.Topology;
 import org.junit.jupiter.api.Test;
@@ -39,11 +39,11 @@
   @CsvSource({"31, 32, 1000, true", "31, 16, 400, true", "13, 6, 300, false", "13, 9, 20, false"})
   void nodesThatAllSeeOneEmptyEngineFillItWithoutCrowdingThere(
       int count, int slots, double workMillis, boolean stream) {
-    ModelEngines engines = new ModelEngines(NODES, count, slots, workMillis, true);
+    EngineSimulation engines = new EngineSimulation(NODES, count, slots, workMillis, true);
     for (int i = 1; i < count; i++) {
       engines.load(i, 2 * slots);
     }
-    double perStep = 0.9 * count * slots * ModelEngines.STEP_MILLIS / workMillis;
+    double perStep = 0.9 * count * slots * EngineSimulation.STEP_MILLIS / workMillis;
     double due = 0;
     int most = 0;
     int filled = 0;
@@ -62,12 +62,12 @@
   /** Demand at half of the room; lines of turns with homes; one engine slow from 2 to 8 s. */
   @Test
   void anEngineFourTimesAsSlowForSixSecondsIsLeftAndUsedAgain() {
-    ModelEngines engines = new ModelEngines(NODES, 9, 16, 400, true);
+    EngineSimulation engines = new EngineSimulation(NODES, 9, 16, 400, true);
     List<Work> sent = new ArrayList<>();
-    double perStep = 0.5 * 9 * 16 * ModelEngines.STEP_MILLIS / 400;
+    double perStep = 0.5 * 9 * 16 * EngineSimulation.STEP_MILLIS / 400;
     double due = 0;
     int program = 0;
-    for (long millis = 0; millis < 17_000; millis += ModelEngines.STEP_MILLIS) {
+    for (long millis = 0; millis < 17_000; millis += EngineSimulation.STEP_MILLIS) {
       engines.engine(0).slowness(millis >= 2_000 && millis < 8_000 ? 4 : 1);
       engines.step(true);
       for (due += perStep; due >= 1; due--) {
@@ -112,7 +112,7 @@
         engine.load().reported(new EngineLoad(0, 0, 0, 0), 0);
       }
       for (int i = 0; i < 100; i++) {
-        engine.observeGap(id.equals("slower") ? 45 : 30);
+        engine.observeInterEventTime(id.equals("slower") ? 45 : 30);
       }
     }
     directory.find(new EngineId("slower")).cachedPrefixes().add(PROMPT);
@@ -158,7 +158,7 @@
     directory.put(new EngineRecord("here", "s", "10.0.0.1", 80, "z", 16, false));
     directory.put(new EngineRecord("there", "s", "10.0.0.2", 80, "other", 16, false));
     for (int i = 0; i < 200; i++) {
-      directory.performanceOf("s").observeWork(8);
+      directory.performanceOf("s").observeNonStream(8);
     }
     for (int i = 0; i < underWay; i++) {
       directory.find(new EngineId("here")).requestStarted(0);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSlowHomePolicy.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSlowHomePolicy.java
@@ -36,10 +36,10 @@
   private void pace(double factor, long millis) {
     engine.observeWait(0, millis * 1_000_000);
     for (int i = 0; i < 200; i++) {
-      engine.observeGap(USUAL_GAP * factor);
+      engine.observeInterEventTime(USUAL_GAP * factor);
     }
     for (int i = 0; i < 1_000; i++) {
-      engine.performance().observeGap(USUAL_GAP);
+      engine.performance().observeInterEventTime(USUAL_GAP);
     }
   }
 
@@ -96,9 +96,9 @@
     pace(4, 1_000);
     engine.observeWait(0, 5_100_000_000L);
     for (int i = 0; i < 10; i++) {
-      engine.observeGap(USUAL_GAP);
+      engine.observeInterEventTime(USUAL_GAP);
     }
-    assertEquals(USUAL_GAP, engine.gapMillis(), USUAL_GAP * 0.1);
+    assertEquals(USUAL_GAP, engine.interEventMillis(), USUAL_GAP * 0.1);
   }
 
   @Test
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedNode.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedNode.java
@@ -20,7 +20,7 @@
 import org.baykeel.gateway.fairness.OpeningShares;
 import org.baykeel.gateway.history.TurnHistory;
 import org.baykeel.gateway.ratelimit.RequestLimiter;
-import org.baykeel.gateway.scheduling.BackendChooser;
+import org.baykeel.gateway.scheduling.BackendSelector;
 import org.baykeel.gateway.scheduling.EngineSelector;
 import org.baykeel.gateway.storage.StoreHealth;
 import org.baykeel.gateway.telemetry.GatewayMetrics;
@@ -73,7 +73,7 @@
                 TestingTenancy.withoutKeys(eventLoop),
                 RequestLimiter.NONE,
                 new EngineSelector(directory, "z", random),
-                new BackendChooser(),
+                new BackendSelector(),
                 new ProgramAdmission(directory, random, OpeningShares.EVEN, (event, fields) -> {}),
                 budgets,
                 history,
@@ -93,13 +93,13 @@
     if (entry) {
       state.putEngine(entry(engine, bornMillis));
     } else {
-      directory.bornElsewhere(new EngineId(engine), bornMillis, eventLoop.nanoTime());
+      directory.adoptStartTime(new EngineId(engine), bornMillis, eventLoop.nanoTime());
     }
   }
 
   /** When an engine started last, as far as this node knows. */
   long bornMillis(String engine) {
-    return directory.find(new EngineId(engine)).record().bornMillis();
+    return directory.find(new EngineId(engine)).record().startMillis();
   }
 
   /** Requests that are under way at the engines as they are now. */
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingLoadReports.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingLoadReports.java
@@ -9,9 +9,9 @@
 import java.util.function.Consumer;
 import org.baykeel.gateway.directory.Engine;
 import org.baykeel.gateway.directory.EngineLoad;
-import org.baykeel.gateway.load.LoadAnswer;
+import org.baykeel.gateway.load.LoadQueryResult;
 import org.baykeel.gateway.load.LoadReport;
-import org.baykeel.gateway.load.LoadReports;
+import org.baykeel.gateway.load.LoadReportClient;
 import org.baykeel.gateway.runtime.EventLoop;
 
 /** Engines that tell their load in memory and virtual time, as the test sets it. */
@@ -57,26 +57,27 @@
   }
 
   /** The questions of a node. */
-  public LoadReports of(String node) {
+  public LoadReportClient of(String node) {
     return (engine, answer) -> ask(node, engine, answer);
   }
 
-  private void ask(String node, Engine engine, Consumer<LoadAnswer> answer) {
+  private void ask(String node, Engine engine, Consumer<LoadQueryResult> answer) {
     String id = engine.record().id();
     long asked = eventLoop.nanoTime();
     questions.add(new Question(node, id, asked));
     if (silent.contains(id)) {
-      eventLoop.schedule(TIMEOUT_MILLIS, () -> answer.accept(new LoadAnswer.Lost("time-out")));
+      eventLoop.schedule(
+          TIMEOUT_MILLIS, () -> answer.accept(new LoadQueryResult.NoResponse("time-out")));
       return;
     }
     eventLoop.schedule(
         WAY_MILLIS,
         () -> {
           LoadReport report = reports.get(id);
-          LoadAnswer told =
+          LoadQueryResult told =
               report == null
-                  ? new LoadAnswer.Unavailable("status 404")
-                  : new LoadAnswer.Reported(report, asked);
+                  ? new LoadQueryResult.Unavailable("status 404")
+                  : new LoadQueryResult.Reported(report, asked);
           eventLoop.schedule(WAY_MILLIS, () -> answer.accept(told));
         });
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/urgency/TestProgramUrgency.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/urgency/TestProgramUrgency.java
@@ -90,18 +90,18 @@
   }
 
   @ParameterizedTest
-  @EnumSource(Standing.class)
-  void aLessUrgentKindNeverGoesBeforeAMoreUrgentOneOfTheSameStanding(Standing standing) {
+  @EnumSource(UrgencyLevel.class)
+  void aLessUrgentKindNeverGoesBeforeAMoreUrgentOneOfTheSameStanding(UrgencyLevel standing) {
     for (int kind = 0; kind < 12; kind++) {
       assertTrue(standing.rank(kind) <= standing.rank(kind + 1));
-      assertTrue(standing.rank(kind) <= Standing.LEAST_URGENT);
+      assertTrue(standing.rank(kind) <= UrgencyLevel.LEAST_URGENT);
     }
   }
 
   @Test
   void standingsDoNotOverlap() {
-    for (int i = 1; i < Standing.values().length; i++) {
-      assertTrue(Standing.values()[i - 1].rank(9) < Standing.values()[i].rank(0));
+    for (int i = 1; i < UrgencyLevel.values().length; i++) {
+      assertTrue(UrgencyLevel.values()[i - 1].rank(9) < UrgencyLevel.values()[i].rank(0));
     }
   }
 
