--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/Judgement.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmissionDecision.java
@@ -6,7 +6,7 @@
  * @param cause why
  * @param retryMillis when it may ask again; 0 if it may begin
  */
-public record Judgement(Cause cause, long retryMillis) {
+public record AdmissionDecision(Cause cause, long retryMillis) {
 
   /** Why a program may or may not begin. */
   public enum Cause {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmissionLog.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmissionLog.java
@@ -10,7 +10,7 @@
   private static final long SHORTEST_NANOS = 1_000_000_000L;
 
   private final DecisionLog log;
-  private final Map<KindAdmission, Told> toldByKind = new HashMap<>();
+  private final Map<RouteAdmission, Told> toldByKind = new HashMap<>();
 
   private record Told(double share, long nanos) {}
 
@@ -19,13 +19,13 @@
   }
 
   void refused(
-      Opening opening,
+      AdmissionRequest opening,
       String requestId,
       String program,
       double share,
-      Prediction prediction,
-      ServiceRoom room,
-      Judgement judgement) {
+      DurationPrediction prediction,
+      ServiceCapacity room,
+      AdmissionDecision judgement) {
     log.write(
         GatewayEvent.PROGRAM_REFUSED,
         "id",
@@ -64,7 +64,7 @@
         judgement.retryMillis());
   }
 
-  void shared(KindAdmission kind, double share, ServiceRoom room, long nowNanos) {
+  void shared(RouteAdmission kind, double share, ServiceCapacity room, long nowNanos) {
     Told told = toldByKind.get(kind);
     double before = told == null ? 1 : told.share();
     boolean due = told == null || nowNanos - told.nanos() >= SHORTEST_NANOS;
@@ -72,7 +72,7 @@
       return;
     }
     toldByKind.put(kind, new Told(share, nowNanos));
-    Prediction prediction = kind.prediction();
+    DurationPrediction prediction = kind.prediction();
     log.write(
         GatewayEvent.ADMISSION_CHANGED,
         "route",
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/Opening.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmissionRequest.java
@@ -14,7 +14,7 @@
  * @param finishMillis the time left until the whole program should be over; 0 or less if unknown
  * @param use what its tenant asked for lately
  */
-public record Opening(
+public record AdmissionRequest(
     String kind,
     int rank,
     Caller caller,
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/UsualTimes.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/BaselineTimes.java
@@ -1,7 +1,7 @@
 package org.baykeel.gateway.admission;
 
 /** What turns and pauses of programs take while there is room. Times are in milliseconds. */
-final class UsualTimes {
+final class BaselineTimes {
   /** Within this time a value loses most of its weight. */
   private static final double FORGETTING_NANOS = 20e9;
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/Prediction.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/DurationPrediction.java
@@ -16,7 +16,7 @@
  * @param turns turns of a program's first line
  * @param aimMillis the time within which programs of its kind should be over
  */
-record Prediction(
+record DurationPrediction(
     OptionalDouble ratio,
     OptionalDouble slackUse,
     double slowerMillis,
@@ -29,9 +29,9 @@
   /** The least that counts as slack, in parts of the aim. */
   private static final double LEAST_SLACK = 0.25;
 
-  static Prediction of(
+  static DurationPrediction of(
       ProgramProfile profile,
-      UsualTimes usual,
+      BaselineTimes usual,
       ServicePerformance performance,
       double waitMillis,
       long nowNanos) {
@@ -49,7 +49,7 @@
       ratio = OptionalDouble.of(nowMillis / aimMillis);
       slackUse = OptionalDouble.of(Math.max(0, nowMillis - usualMillis) / slack);
     }
-    return new Prediction(
+    return new DurationPrediction(
         ratio,
         slackUse,
         slowerMillis,
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/OwnWait.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/LocalWaitEstimate.java
@@ -1,7 +1,7 @@
 package org.baykeel.gateway.admission;
 
 /** How long engines of a service keep this process's own requests waiting. */
-final class OwnWait {
+final class LocalWaitEstimate {
   /** Weight of one observation; about the last five count. */
   private static final double SMOOTHING = 0.2;
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ProgramAdmission.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ProgramAdmission.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.random.RandomGenerator;
 import org.baykeel.gateway.directory.EngineDirectory;
-import org.baykeel.gateway.fairness.OpeningShares;
+import org.baykeel.gateway.fairness.AdmissionShares;
 import org.baykeel.gateway.telemetry.DecisionLog;
 
 /**
@@ -23,7 +23,7 @@
 
   private final EngineDirectory engines;
   private final RandomGenerator random;
-  private final OpeningShares shares;
+  private final AdmissionShares shares;
   private final AdmissionLog log;
   private final RetryDelay retryDelay;
   private final TurnPauses pauses = new TurnPauses();
@@ -39,7 +39,7 @@
    * @param log takes a line for each change
    */
   public ProgramAdmission(
-      EngineDirectory engines, RandomGenerator random, OpeningShares shares, DecisionLog log) {
+      EngineDirectory engines, RandomGenerator random, AdmissionShares shares, DecisionLog log) {
     this.engines = engines;
     this.random = random;
     this.shares = shares;
@@ -49,7 +49,7 @@
 
   /** Creates an admission that gives everybody of a kind the same share. */
   public ProgramAdmission(EngineDirectory engines, RandomGenerator random, DecisionLog log) {
-    this(engines, random, OpeningShares.EVEN, log);
+    this(engines, random, AdmissionShares.EVEN, log);
   }
 
   /** Spreads the times at which refused callers return. */
@@ -61,7 +61,7 @@
    * Whether every program of this kind may begin now, so that nothing is to be decided on a single
    * one.
    */
-  public boolean unrestricted(Opening opening, long nowNanos) {
+  public boolean unrestricted(AdmissionRequest opening, long nowNanos) {
     boolean unrestricted = share(opening, nowNanos) >= 1;
     if (unrestricted) {
       shares.shareOf(opening.group(), 1, opening.use());
@@ -75,38 +75,39 @@
    * @param requestId names its first turn in the log
    * @param program names it in the log
    */
-  public Judgement judge(Opening opening, String requestId, String program, long nowNanos) {
+  public AdmissionDecision decide(
+      AdmissionRequest opening, String requestId, String program, long nowNanos) {
     double share = share(opening, nowNanos);
     if (share >= 1) {
-      return new Judgement(Judgement.Cause.ADMITTED, 0);
+      return new AdmissionDecision(AdmissionDecision.Cause.ADMITTED, 0);
     }
-    KindAdmission kind = kind(opening);
-    Prediction prediction = kind.prediction();
+    RouteAdmission kind = kind(opening);
+    DurationPrediction prediction = kind.prediction();
     long left = opening.finishMillis();
-    Judgement.Cause cause = Judgement.Cause.NO_ROOM;
+    AdmissionDecision.Cause cause = AdmissionDecision.Cause.NO_ROOM;
     if (left > 0 && left < prediction.leastMillis()) {
-      cause = Judgement.Cause.TOO_LATE;
+      cause = AdmissionDecision.Cause.TOO_LATE;
     } else if (kind.admits(shares.shareOf(opening.group(), share, opening.use()))) {
-      return new Judgement(Judgement.Cause.ADMITTED, 0);
+      return new AdmissionDecision(AdmissionDecision.Cause.ADMITTED, 0);
     }
     double untilRoomMillis = (1 - share) * kind.programMillis();
     long retryMillis =
         Math.round(Math.max(LEAST_RETRY_MILLIS, Math.min(MOST_RETRY_MILLIS, untilRoomMillis)));
-    Judgement refused = new Judgement(cause, retryDelay.around(retryMillis));
+    AdmissionDecision refused = new AdmissionDecision(cause, retryDelay.around(retryMillis));
     log.refused(
         opening, requestId, program, share, prediction, service(opening.service()).room(), refused);
     return refused;
   }
 
-  private double share(Opening opening, long nowNanos) {
+  private double share(AdmissionRequest opening, long nowNanos) {
     ServiceAdmission service = service(opening.service());
-    KindAdmission kind = kind(opening);
+    RouteAdmission kind = kind(opening);
     double share = service.share(kind, opening.targetMillis(), nowNanos);
     log.shared(kind, share, service.room(), nowNanos);
     return share;
   }
 
-  private KindAdmission kind(Opening opening) {
+  private RouteAdmission kind(AdmissionRequest opening) {
     return service(opening.service()).kind(opening, profile(opening.kind()));
   }
 
@@ -173,7 +174,7 @@
    *
    * @param targetMillis the time within which the route wants an answer to begin
    */
-  public boolean timeToSpare(String service, long targetMillis, long nowNanos) {
+  public boolean hasSpareCapacity(String service, long targetMillis, long nowNanos) {
     return service(service).ownWait().presentMillis(nowNanos) <= targetMillis * SPARE_TARGETS;
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/KindAdmission.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/RouteAdmission.java
@@ -3,7 +3,7 @@
 import org.baykeel.gateway.directory.ServicePerformance;
 
 /** What is known and decided of the programs of one kind and rank at one service. */
-final class KindAdmission {
+final class RouteAdmission {
   /** Where refusals begin, and where only the least share may begin, in parts of the slack. */
   private static final double SLACK_BEGIN = 0.2;
 
@@ -33,13 +33,13 @@
   private final String kind;
   private final int rank;
   private final ProgramProfile profile;
-  private final UsualTimes usual = new UsualTimes();
+  private final BaselineTimes usual = new BaselineTimes();
   private final AdmittedShare share;
   private long targetMillis;
   private long askedNanos;
-  private Prediction prediction;
+  private DurationPrediction prediction;
 
-  KindAdmission(String kind, int rank, ProgramProfile profile, double firstCredit) {
+  RouteAdmission(String kind, int rank, ProgramProfile profile, double firstCredit) {
     this.kind = kind;
     this.rank = rank;
     this.profile = profile;
@@ -58,7 +58,7 @@
     return profile;
   }
 
-  Prediction prediction() {
+  DurationPrediction prediction() {
     return prediction;
   }
 
@@ -91,9 +91,9 @@
       boolean room,
       long nowNanos) {
     if (room) {
-      usual.observe(Prediction.workMillis(performance), profile.pauseMillis(), nowNanos);
+      usual.observe(DurationPrediction.workMillis(performance), profile.pauseMillis(), nowNanos);
     }
-    prediction = Prediction.of(profile, usual, performance, waitMillis, nowNanos);
+    prediction = DurationPrediction.of(profile, usual, performance, waitMillis, nowNanos);
     share.follow(room ? 1 : target(viewed), programMillis(), nowNanos);
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ServiceAdmission.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ServiceAdmission.java
@@ -22,10 +22,10 @@
   private final String service;
   private final EngineDirectory engines;
   private final RandomGenerator random;
-  private final OwnWait ownWait = new OwnWait();
-  private final Map<Key, KindAdmission> kinds = new LinkedHashMap<>();
-  private final RoomTrend trend = new RoomTrend();
-  private ServiceRoom room = ServiceRoom.UNKNOWN;
+  private final LocalWaitEstimate ownWait = new LocalWaitEstimate();
+  private final Map<Key, RouteAdmission> kinds = new LinkedHashMap<>();
+  private final UtilizationTrend trend = new UtilizationTrend();
+  private ServiceCapacity room = ServiceCapacity.UNKNOWN;
   private boolean looked;
   private long lookedNanos;
 
@@ -37,18 +37,18 @@
     this.random = random;
   }
 
-  OwnWait ownWait() {
+  LocalWaitEstimate ownWait() {
     return ownWait;
   }
 
-  ServiceRoom room() {
+  ServiceCapacity room() {
     return room;
   }
 
-  KindAdmission kind(Opening opening, ProgramProfile profile) {
+  RouteAdmission kind(AdmissionRequest opening, ProgramProfile profile) {
     return kinds.computeIfAbsent(
         new Key(opening.kind(), opening.rank()),
-        key -> new KindAdmission(key.kind(), key.rank(), profile, random.nextDouble()));
+        key -> new RouteAdmission(key.kind(), key.rank(), profile, random.nextDouble()));
   }
 
   /** Notes how long a request waited at an engine beyond what its prompt explains. */
@@ -63,7 +63,7 @@
     }
     looked = true;
     lookedNanos = nowNanos;
-    ServiceRoom seen = ServiceRoom.of(engines.ofService(service), nowNanos);
+    ServiceCapacity seen = ServiceCapacity.of(engines.ofService(service), nowNanos);
     if (seen.known()) {
       trend.sample(seen.requestsPerPlace(), nowNanos);
       room = seen.grownBy(trend.growth(seen.ageMillis() * 1e6));
@@ -76,12 +76,12 @@
    * The share of a kind's programs that may begin now. The shares of the other kinds follow too,
    * since a kind never gets more than a more urgent one.
    */
-  double share(KindAdmission asking, long targetMillis, long nowNanos) {
+  double share(RouteAdmission asking, long targetMillis, long nowNanos) {
     asking.asked(targetMillis, nowNanos);
     look(nowNanos);
     double waitMillis = waitMillis(nowNanos);
     ServicePerformance performance = engines.performanceOf(service);
-    for (KindAdmission kind : kinds.values()) {
+    for (RouteAdmission kind : kinds.values()) {
       if (kind.recent(nowNanos)) {
         boolean roomy = roomy(kind, nowNanos);
         kind.follow(performance, waitMillis, room.recent(), roomy, nowNanos);
@@ -92,11 +92,11 @@
 
   private double waitMillis(long nowNanos) {
     double own = room.recent() ? ownWait.observedMillis(nowNanos) : ownWait.presentMillis(nowNanos);
-    double work = Prediction.workMillis(engines.performanceOf(service));
+    double work = DurationPrediction.workMillis(engines.performanceOf(service));
     return Math.max(own, room.waitingPerPlace() * work);
   }
 
-  private boolean roomy(KindAdmission kind, long nowNanos) {
+  private boolean roomy(RouteAdmission kind, long nowNanos) {
     boolean here =
         room.recent()
             ? room.occupancy() < ROOMY_OCCUPANCY
@@ -106,9 +106,9 @@
   }
 
   /** What is no room for a more urgent kind is none for this one. */
-  private long strictestTargetMillis(KindAdmission kind, long nowNanos) {
+  private long strictestTargetMillis(RouteAdmission kind, long nowNanos) {
     long strictest = kind.targetMillis();
-    for (KindAdmission other : kinds.values()) {
+    for (RouteAdmission other : kinds.values()) {
       if (other.recent(nowNanos) && other.rank() <= kind.rank()) {
         strictest = Math.min(strictest, other.targetMillis());
       }
@@ -116,9 +116,9 @@
     return strictest;
   }
 
-  private boolean toolsRoomy(KindAdmission kind, long nowNanos) {
+  private boolean toolsRoomy(RouteAdmission kind, long nowNanos) {
     for (String tool : kind.profile().toolServices()) {
-      ServiceRoom there = ServiceRoom.of(engines.ofService(tool), nowNanos);
+      ServiceCapacity there = ServiceCapacity.of(engines.ofService(tool), nowNanos);
       if (there.known() && there.occupancy() >= ROOMY_OCCUPANCY) {
         return false;
       }
@@ -126,10 +126,10 @@
     return true;
   }
 
-  private double ranked(KindAdmission asking, long nowNanos) {
+  private double ranked(RouteAdmission asking, long nowNanos) {
     double least = asking.ownShare();
-    KindAdmission mostUrgent = asking;
-    for (KindAdmission other : kinds.values()) {
+    RouteAdmission mostUrgent = asking;
+    for (RouteAdmission other : kinds.values()) {
       if (other.recent(nowNanos) && other.rank() <= asking.rank()) {
         least = Math.min(least, other.ownShare());
         mostUrgent = other.rank() < mostUrgent.rank() ? other : mostUrgent;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ServiceRoom.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ServiceCapacity.java
@@ -14,20 +14,20 @@
  * @param waitingPerPlace requests that wait for a place, for each place
  * @param ageMillis the mean age of the reports that count; -1 if there are none
  */
-record ServiceRoom(
+record ServiceCapacity(
     boolean known,
     double requestsPerPlace,
     double memoryShare,
     double waitingPerPlace,
     long ageMillis) {
-  static final ServiceRoom UNKNOWN = new ServiceRoom(false, 0, 0, 0, -1);
+  static final ServiceCapacity UNKNOWN = new ServiceCapacity(false, 0, 0, 0, -1);
 
   /** Programs that begin on the word of an older report may have filled the service since. */
   private static final long RECENT_MILLIS = 1_000;
 
   private static final double KNOWN_PART = 0.5;
 
-  static ServiceRoom of(List<Engine> engines, long nowNanos) {
+  static ServiceCapacity of(List<Engine> engines, long nowNanos) {
     int places = 0;
     int knownPlaces = 0;
     int requests = 0;
@@ -52,7 +52,7 @@
     if (knownPlaces == 0 || knownPlaces < places * KNOWN_PART) {
       return UNKNOWN;
     }
-    return new ServiceRoom(
+    return new ServiceCapacity(
         true,
         (double) requests / knownPlaces,
         usedMemory / knownPlaces,
@@ -75,10 +75,10 @@
    *
    * @param growth further requests for each place, at least 0
    */
-  ServiceRoom grownBy(double growth) {
+  ServiceCapacity grownBy(double growth) {
     double grown = requestsPerPlace + growth;
     double waiting = Math.max(waitingPerPlace + growth - Math.max(0, 1 - requestsPerPlace), 0);
-    return new ServiceRoom(
+    return new ServiceCapacity(
         known, grown, memoryShare, Math.max(waitingPerPlace, waiting), ageMillis);
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/RoomTrend.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/UtilizationTrend.java
@@ -5,7 +5,7 @@
  * programs that begin meanwhile come on top; without looking ahead, a sudden rise is answered only
  * once it has filled the service with more than it can end in time.
  */
-final class RoomTrend {
+final class UtilizationTrend {
   private static final double FAST_NANOS = 100e6;
   private static final double SLOW_NANOS = 500e6;
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineAttempts.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AttemptSequence.java
@@ -16,7 +16,7 @@
  * <p>Invariant: a request that may run only once is sent again only if the engine states that it
  * did not run it or if not one byte of it was sent.
  */
-final class EngineAttempts implements EngineAttempt.Owner, AnswerSource, RoomQueue.Waiter {
+final class AttemptSequence implements EngineAttempt.Owner, AnswerSource, WaitQueue.Waiter {
   /** Engines that are asked one after the other before the request waits for room. */
   private static final int MAX_SENDS = 6;
 
@@ -37,7 +37,7 @@
     void onStreamComplete();
 
     /** A whole answer that is not a stream. */
-    void onWholeAnswer(AnswerHead head, byte[] body);
+    void onWholeAnswer(ResponseHead head, byte[] body);
 
     /**
      * No attempt follows.
@@ -48,17 +48,17 @@
   }
 
   private final GatewayContext context;
-  private final AdmittedCall call;
+  private final AuthorizedCall call;
   private final CallRecord record;
-  private final AnswerRelay relay;
+  private final ResponseRelay relay;
   private final Owner owner;
   private final EventLoop eventLoop;
   private final Set<String> triedEngines = new HashSet<>();
-  private final RoomQueue roomQueue;
+  private final WaitQueue roomQueue;
   private final EngineSelector.Criteria criteria;
   private final SilenceWatch silenceWatch;
   private byte[] engineBody;
-  private RoomQueue.Ticket roomTicket;
+  private WaitQueue.Ticket roomTicket;
   private EngineAttempt attempt;
   private int sends;
   private int sendsInRound;
@@ -67,12 +67,12 @@
   private boolean turnedAway;
   private boolean ended;
 
-  EngineAttempts(
+  AttemptSequence(
       GatewayContext context,
-      RoomQueue roomQueue,
-      AdmittedCall call,
+      WaitQueue roomQueue,
+      AuthorizedCall call,
       CallRecord record,
-      AnswerRelay relay,
+      ResponseRelay relay,
       Owner owner) {
     this.context = context;
     this.call = call;
@@ -185,7 +185,7 @@
     }
   }
 
-  private static EngineSelector.Criteria criteria(AdmittedCall call) {
+  private static EngineSelector.Criteria criteria(AuthorizedCall call) {
     return new EngineSelector.Criteria(
         call.service(),
         call.attributes().prompt(),
@@ -225,8 +225,8 @@
     return Math.max(nextPlaceNanos, notBeforeNanos);
   }
 
-  private RoomQueue.Need roomNeed() {
-    return new RoomQueue.Need(call.service(), call.residency(), call.route().repeatable());
+  private WaitQueue.Need roomNeed() {
+    return new WaitQueue.Need(call.service(), call.residency(), call.route().repeatable());
   }
 
   /** Whether the request came early enough to end before its program is to be over. */
@@ -317,7 +317,7 @@
   }
 
   @Override
-  public void onStreamHead(AnswerHead head) {
+  public void onStreamHead(ResponseHead head) {
     relay.head(head);
   }
 
@@ -359,7 +359,7 @@
   }
 
   @Override
-  public void onWholeAnswer(AnswerHead head, byte[] body) {
+  public void onWholeAnswer(ResponseHead head, byte[] body) {
     if (relay.begun()) {
       onBroken("status " + head.status() + " in place of the rest");
       return;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AdmittedCall.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AuthorizedCall.java
@@ -19,7 +19,7 @@
  * @param tokensPerEvent tokens of one event of a stream of that service
  * @param deadlineNanos when its caller no longer waits, by the event loop's clock
  */
-record AdmittedCall(
+record AuthorizedCall(
     CallRequest request,
     Route route,
     Caller caller,
@@ -29,8 +29,10 @@
     long deadlineNanos) {
 
   /** Chooses the service for a request that was admitted. */
-  static AdmittedCall of(
-      CallRequest request, Admission.Outcome.Admitted admitted, BackendSelector backendChooser) {
+  static AuthorizedCall of(
+      CallRequest request,
+      CallAuthorization.Outcome.Admitted admitted,
+      BackendSelector backendChooser) {
     Route route = admitted.route();
     CallAttributes attributes = request.attributes();
     String line = attributes.lineOrObject(route.kind() == RouteKind.STREAMING);
@@ -39,7 +41,7 @@
     int tokensPerEvent = profile == null ? 0 : profile.tokensPerEvent();
     long patience = attributes.patienceMillis(route.timeoutMillis());
     long deadlineNanos = request.receivedNanos() + patience * 1_000_000;
-    return new AdmittedCall(
+    return new AuthorizedCall(
         request, route, admitted.caller(), admitted.use(), service, tokensPerEvent, deadlineNanos);
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/Admission.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallAuthorization.java
@@ -19,7 +19,7 @@
  * The first step of a call: finds its route and its tenant and takes a request off the tenant's
  * limit. Nothing has been sent to an engine before it is over.
  */
-final class Admission {
+final class CallAuthorization {
   private static final long NOT_READY_RETRY_MILLIS = 250;
 
   /** Other nodes may have a configuration that is recent enough; the caller tries one of them. */
@@ -71,7 +71,7 @@
    *
    * @param answer takes the outcome, exactly once
    */
-  Admission(GatewayContext context, CallRequest request, Consumer<Outcome> answer) {
+  CallAuthorization(GatewayContext context, CallRequest request, Consumer<Outcome> answer) {
     this.context = context;
     this.request = request;
     this.answer = answer;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallCoordinator.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallCoordinator.java
@@ -3,11 +3,11 @@
 /** Starts calls. */
 public final class CallCoordinator {
   private final GatewayContext context;
-  private final RoomQueue roomQueue;
+  private final WaitQueue roomQueue;
 
   public CallCoordinator(GatewayContext context) {
     this.context = context;
-    this.roomQueue = new RoomQueue(context.eventLoop());
+    this.roomQueue = new WaitQueue(context.eventLoop());
   }
 
   /** Takes a whole request; the responder hears of its end, perhaps before this returns. */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallResponder.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallResponder.java
@@ -12,17 +12,17 @@
   void refuse(Refusal refusal);
 
   /** Passes on a whole answer. */
-  void answer(AnswerHead head, byte[] body);
+  void respond(ResponseHead head, byte[] body);
 
   /** Begins to pass on a stream. */
-  void begin(AnswerHead head);
+  void startStream(ResponseHead head);
 
   /** Passes on a whole event of a stream that has begun. */
-  void event(byte[] bytes);
+  void sendEvent(byte[] bytes);
 
   /** Ends a stream that is complete. */
-  void end();
+  void endStream();
 
   /** Cuts a stream that has begun, so that it does not look complete. */
-  void abort();
+  void abortStream();
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ClientCall.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ClientCall.java
@@ -14,30 +14,30 @@
  * event reaches the caller before its tokens are granted; a kept turn ends only after the store has
  * it.
  */
-public final class ClientCall implements EngineAttempts.Owner {
+public final class ClientCall implements AttemptSequence.Owner {
   private static final long BUSY_RETRY_MILLIS = 150;
   private static final long STORE_RETRY_MILLIS = 800;
 
   private final GatewayContext context;
-  private final RoomQueue roomQueue;
+  private final WaitQueue roomQueue;
   private final CallRequest request;
   private final CallResponder responder;
   private final EventLoop eventLoop;
   private final CallRecord record;
   private Route route;
   private Caller caller;
-  private AdmittedCall call;
-  private AnswerRelay relay;
-  private EngineAttempts attempts;
+  private AuthorizedCall call;
+  private ResponseRelay relay;
+  private AttemptSequence attempts;
   private byte[] engineBody;
-  private RetainedTurn retainedTurn;
+  private TurnChain retainedTurn;
   private TurnBudget budget;
   private EventLoop.Timer deadlineTimer;
   private boolean streamComplete;
   private boolean over;
 
   ClientCall(
-      GatewayContext context, RoomQueue roomQueue, CallRequest request, CallResponder responder) {
+      GatewayContext context, WaitQueue roomQueue, CallRequest request, CallResponder responder) {
     this.context = context;
     this.roomQueue = roomQueue;
     this.request = request;
@@ -48,32 +48,32 @@
 
   void start() {
     record.waitBegan(CallRecord.Wait.ADMISSION);
-    new Admission(context, request, this::onAdmission).begin();
+    new CallAuthorization(context, request, this::onAdmission).begin();
   }
 
-  private void onAdmission(Admission.Outcome outcome) {
+  private void onAdmission(CallAuthorization.Outcome outcome) {
     if (over) {
       return;
     }
-    if (outcome instanceof Admission.Outcome.Refused refused) {
+    if (outcome instanceof CallAuthorization.Outcome.Refused refused) {
       route = refused.route();
       record.tenant(refused.tenant());
       refuse(refused.refusal());
     } else {
-      begin((Admission.Outcome.Admitted) outcome);
+      begin((CallAuthorization.Outcome.Admitted) outcome);
     }
   }
 
-  private void begin(Admission.Outcome.Admitted admitted) {
+  private void begin(CallAuthorization.Outcome.Admitted admitted) {
     route = admitted.route();
     caller = admitted.caller();
     record.tenant(caller.name());
-    call = AdmittedCall.of(request, admitted, context.backendChooser());
-    retainedTurn = new RetainedTurn(context, call);
+    call = AuthorizedCall.of(request, admitted, context.backendChooser());
+    retainedTurn = new TurnChain(context, call);
     long leftMillis = Math.max(0, (call.deadlineNanos() - eventLoop.nanoTime()) / 1_000_000);
     deadlineTimer = eventLoop.schedule(leftMillis, this::onDeadline);
-    relay = new AnswerRelay(responder, attributes().lastEventId(), route.retained());
-    attempts = new EngineAttempts(context, roomQueue, call, record, relay, this);
+    relay = new ResponseRelay(responder, attributes().lastEventId(), route.retained());
+    attempts = new AttemptSequence(context, roomQueue, call, record, relay, this);
     budget = new TurnBudget(context, call);
     budget.admit(this::onProgramAdmitted, this::refuse);
   }
@@ -206,9 +206,9 @@
   }
 
   @Override
-  public void onWholeAnswer(AnswerHead head, byte[] body) {
+  public void onWholeAnswer(ResponseHead head, byte[] body) {
     over = true;
-    responder.answer(head, body);
+    responder.respond(head, body);
     ended(head.status(), "answered");
   }
 
@@ -272,7 +272,7 @@
   }
 
   /** The caller's connection is gone: nothing of this request is to go on. */
-  public void callerLeft() {
+  public void callerDisconnected() {
     if (over) {
       return;
     }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineAttempt.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineAttempt.java
@@ -36,7 +36,7 @@
     void onAttemptProgress();
 
     /** A signed stream begins. */
-    void onStreamHead(AnswerHead head);
+    void onStreamHead(ResponseHead head);
 
     /** A whole event. */
     void onStreamEvent(StreamEvent event);
@@ -51,7 +51,7 @@
     void onBroken(String detail);
 
     /** A whole answer that is not a stream. */
-    void onWholeAnswer(AnswerHead head, byte[] body);
+    void onWholeAnswer(ResponseHead head, byte[] body);
   }
 
   private final Engine engine;
@@ -66,7 +66,7 @@
   private final boolean continuation;
   private final long startedNanos;
   private EngineTransport.Exchange exchange;
-  private AnswerHead head;
+  private ResponseHead head;
   private ByteArrayOutputStream body;
   private long lastEventNanos;
   private int events;
@@ -144,13 +144,13 @@
   }
 
   @Override
-  public void onHead(AnswerHead answerHead) {
+  public void onHead(ResponseHead answerHead) {
     if (closed) {
       return;
     }
     head = answerHead;
     owner.onAttemptProgress();
-    AnswerTraits traits = head.traits();
+    ResponseTraits traits = head.traits();
     if (head.status() == MISDIRECTED || traits.notExecuted()) {
       onNotExecuted();
     } else if (head.success() && !traits.signed()) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineTransport.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineTransport.java
@@ -27,7 +27,7 @@
   /** Hears of one answer; after a head come its bytes, then exactly one of the ends. */
   interface Listener {
     /** Status and header fields. */
-    void onHead(AnswerHead head);
+    void onHead(ResponseHead head);
 
     /** Bytes of the body. */
     void onBody(byte[] bytes);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GatewayState.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GatewayState.java
@@ -66,7 +66,7 @@
   }
 
   /** Adopts a configuration if it is newer than the one in force. */
-  public void offer(GatewayConfiguration offered) {
+  public void adoptIfNewer(GatewayConfiguration offered) {
     if (configuration != null && offered.version() <= configuration.version()) {
       log.write(
           GatewayEvent.CONFIGURATION_IGNORED,
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ProgramOpening.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ProgramStart.java
@@ -3,8 +3,8 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 import org.baykeel.core.error.ErrorKind;
-import org.baykeel.gateway.admission.Judgement;
-import org.baykeel.gateway.admission.Opening;
+import org.baykeel.gateway.admission.AdmissionDecision;
+import org.baykeel.gateway.admission.AdmissionRequest;
 import org.baykeel.gateway.admission.ProgramAdmission;
 import org.baykeel.gateway.budget.ProgramBudgets.Begun;
 import org.baykeel.gateway.configuration.Route;
@@ -16,9 +16,9 @@
  * what the turns of programs take. A program that has begun anywhere is never refused here: while
  * it matters and this node does not know, the store is asked.
  */
-final class ProgramOpening {
+final class ProgramStart {
   private final GatewayContext context;
-  private final AdmittedCall call;
+  private final AuthorizedCall call;
   private final CallAttributes attributes;
   private final Route route;
   private final String service;
@@ -31,7 +31,7 @@
   private boolean closed;
 
   /** Creates an opening on which nothing is decided. */
-  ProgramOpening(GatewayContext context, AdmittedCall call) {
+  ProgramStart(GatewayContext context, AuthorizedCall call) {
     this.context = context;
     this.call = call;
     this.attributes = call.attributes();
@@ -103,8 +103,8 @@
   }
 
   private void decide(Runnable admitted, Consumer<Refusal> refused) {
-    Judgement judgement =
-        admission.judge(opening(), attributes.requestId(), attributes.programId(), now());
+    AdmissionDecision judgement =
+        admission.decide(opening(), attributes.requestId(), attributes.programId(), now());
     if (judgement.admitted()) {
       begin(admitted);
     } else {
@@ -145,8 +145,8 @@
     }
   }
 
-  private Opening opening() {
-    return new Opening(
+  private AdmissionRequest opening() {
+    return new AdmissionRequest(
         route.name(),
         call.caller().priority(route.priority()),
         call.caller(),
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AnswerHead.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ResponseHead.java
@@ -9,7 +9,7 @@
  * @param headers fields that are passed on; none that belong to one connection
  * @param traits what the engine's own fields mean
  */
-public record AnswerHead(int status, HttpHeaders headers, AnswerTraits traits) {
+public record ResponseHead(int status, HttpHeaders headers, ResponseTraits traits) {
 
   /** Whether the status tells of success. */
   public boolean success() {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AnswerRelay.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ResponseRelay.java
@@ -10,12 +10,12 @@
  * their tokens are granted; an event that the caller already has is dropped. While much is held for
  * the caller, the engine is not read.
  */
-final class AnswerRelay implements AnswerSource {
+final class ResponseRelay implements AnswerSource {
   private final CallResponder responder;
   private final ByteArrayOutputStream output;
   private final List<StreamEvent> held = new ArrayList<>();
   private AnswerSource source = AnswerSource.NONE;
-  private AnswerHead head;
+  private ResponseHead head;
   private boolean open;
   private boolean begun;
   private long lastEventId;
@@ -27,7 +27,7 @@
    * @param lastEventId the last event that the caller has; {@link CallAttributes#ABSENT} if none
    * @param collectOutput whether the data of the events is to be kept
    */
-  AnswerRelay(CallResponder responder, long lastEventId, boolean collectOutput) {
+  ResponseRelay(CallResponder responder, long lastEventId, boolean collectOutput) {
     this.responder = responder;
     this.lastEventId = lastEventId;
     this.output = collectOutput ? new ByteArrayOutputStream() : null;
@@ -50,7 +50,7 @@
   }
 
   /** Takes the head of an engine's answer; that of the first engine is the caller's. */
-  void head(AnswerHead newHead) {
+  void head(ResponseHead newHead) {
     if (!begun) {
       head = newHead;
     }
@@ -93,23 +93,23 @@
       output.writeBytes(event.data());
       output.write('\n');
     }
-    responder.event(event.bytes());
+    responder.sendEvent(event.bytes());
   }
 
   private void begin() {
     if (!begun) {
       begun = true;
-      responder.begin(head);
+      responder.startStream(head);
     }
   }
 
   void end() {
     begin();
-    responder.end();
+    responder.endStream();
   }
 
   void abort() {
-    responder.abort();
+    responder.abortStream();
   }
 
   /** Whether the caller has the head. */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AnswerTraits.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ResponseTraits.java
@@ -8,5 +8,5 @@
  * @param signed whether it carries the engine's signature
  * @param eventStream whether the body is a series of events
  */
-public record AnswerTraits(
+public record ResponseTraits(
     String requestId, boolean notExecuted, boolean signed, boolean eventStream) {}
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnBudget.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnBudget.java
@@ -11,17 +11,17 @@
 final class TurnBudget {
   private final GatewayContext context;
   private final CallAttributes attributes;
-  private final AdmittedCall call;
-  private final ProgramOpening opening;
+  private final AuthorizedCall call;
+  private final ProgramStart opening;
   private Reservation reservation;
   private boolean programKnown;
 
   /** Creates a budget of which nothing is reserved. */
-  TurnBudget(GatewayContext context, AdmittedCall call) {
+  TurnBudget(GatewayContext context, AuthorizedCall call) {
     this.context = context;
     this.call = call;
     this.attributes = call.attributes();
-    this.opening = new ProgramOpening(context, call);
+    this.opening = new ProgramStart(context, call);
   }
 
   /**
@@ -42,7 +42,7 @@
     return !context.storeHealth().reachable()
         && !context
             .admission()
-            .timeToSpare(
+            .hasSpareCapacity(
                 call.service(), call.route().targetLatencyMillis(), context.eventLoop().nanoTime());
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/RetainedTurn.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnChain.java
@@ -8,14 +8,14 @@
 import org.baykeel.gateway.program.ProgramId;
 
 /** The turns that a call continues, and its own turn, as the history keeps them. */
-final class RetainedTurn {
+final class TurnChain {
   private static final long LOOKUP_PATIENCE_MILLIS = 1_000;
 
   private final GatewayContext context;
-  private final AdmittedCall call;
+  private final AuthorizedCall call;
   private List<String> ancestors = List.of();
 
-  RetainedTurn(GatewayContext context, AdmittedCall call) {
+  TurnChain(GatewayContext context, AuthorizedCall call) {
     this.context = context;
     this.call = call;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/RoomQueue.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/WaitQueue.java
@@ -14,7 +14,7 @@
  * left until its aim or until its caller leaves. Those that came too late for their aim, or have
  * none, come after all others, by their deadlines.
  */
-final class RoomQueue {
+final class WaitQueue {
   private static final Comparator<Ticket> MOST_URGENT_FIRST =
       Comparator.comparing(Ticket::hasAim)
           .reversed()
@@ -64,7 +64,7 @@
       this.dueNanos = dueNanos;
       this.giveUpNanos = giveUpNanos;
       this.waiter = waiter;
-      this.order = RoomQueue.this.order++;
+      this.order = WaitQueue.this.order++;
     }
 
     private boolean hasAim() {
@@ -158,7 +158,7 @@
     }
   }
 
-  RoomQueue(EventLoop eventLoop) {
+  WaitQueue(EventLoop eventLoop) {
     this.eventLoop = eventLoop;
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/OpeningShares.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/AdmissionShares.java
@@ -4,9 +4,9 @@
 
 /** Divides the programs that may begin among those that ask to. */
 @FunctionalInterface
-public interface OpeningShares {
+public interface AdmissionShares {
   /** The same share for all. */
-  OpeningShares EVEN = (group, share, use) -> share;
+  AdmissionShares EVEN = (group, share, use) -> share;
 
   /**
    * The share of programs like one that asks to begin that may do so. Asked once for each, also
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/FairShares.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/FairShares.java
@@ -17,7 +17,7 @@
  *
  * <p>Nothing is agreed on among nodes: each finds the level from what it sees itself.
  */
-public final class FairShares implements OpeningShares {
+public final class FairShares implements AdmissionShares {
   private final EventLoop eventLoop;
   private final DecisionLog log;
   private final Map<String, GroupShares> groups = new HashMap<>();
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/GroupShares.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/GroupShares.java
@@ -33,7 +33,7 @@
   private final String group;
   private final EventLoop eventLoop;
   private final DecisionLog log;
-  private final ObservedUses uses = new ObservedUses();
+  private final LimitUseSamples uses = new LimitUseSamples();
   private double share = 1;
   private double level = Double.POSITIVE_INFINITY;
   private double loggedLevel = Double.POSITIVE_INFINITY;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/ObservedUses.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/LimitUseSamples.java
@@ -6,7 +6,7 @@
 import org.baykeel.gateway.tenancy.LimitUse;
 
 /** What the tenants of the last programs that asked to begin here used; older ones count less. */
-final class ObservedUses {
+final class LimitUseSamples {
   private static final int CAPACITY = 64;
 
   /**
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/CallTranslator.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/CallTranslator.java
@@ -3,10 +3,10 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpResponse;
 import org.baykeel.core.error.BaykeelException;
-import org.baykeel.gateway.call.AnswerTraits;
 import org.baykeel.gateway.call.CallAttributes;
 import org.baykeel.gateway.call.EngineRequest;
 import org.baykeel.gateway.call.Refusal;
+import org.baykeel.gateway.call.ResponseTraits;
 import org.baykeel.gateway.directory.Engine;
 
 /** Translates between header fields of a deployment and what they mean to the product. */
@@ -24,7 +24,7 @@
   HttpHeaders engineHeaders(EngineRequest request, Engine engine);
 
   /** What an engine's status and header fields say. */
-  AnswerTraits traits(HttpResponse response);
+  ResponseTraits traits(HttpResponse response);
 
   /** Adds to a refusal's header fields what callers of this deployment expect. */
   void describeRefusal(HttpHeaders headers, Refusal refusal, CallAttributes attributes);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/EngineConnection.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/EngineConnection.java
@@ -10,9 +10,9 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
-import org.baykeel.gateway.call.AnswerHead;
-import org.baykeel.gateway.call.AnswerTraits;
 import org.baykeel.gateway.call.EngineTransport.Failure;
+import org.baykeel.gateway.call.ResponseHead;
+import org.baykeel.gateway.call.ResponseTraits;
 
 /**
  * A connection to an engine. It is used again only after a whole answer to its own request with
@@ -140,7 +140,7 @@
       informational = true;
       return;
     }
-    AnswerTraits traits = translator.traits(response);
+    ResponseTraits traits = translator.traits(response);
     boolean own = current.requestId().equals(traits.requestId());
     if (!own && (traits.requestId() != null || used)) {
       skipping = true;
@@ -153,7 +153,7 @@
     reusable = reusable && framed && HttpUtil.isKeepAlive(response);
     noteKeepAlive(response.headers().get("Keep-Alive"));
     current.head(
-        new AnswerHead(
+        new ResponseHead(
             response.status().code(), ConnectionFields.without(response.headers()), traits));
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/IngressConnection.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/IngressConnection.java
@@ -31,7 +31,6 @@
 import org.baykeel.core.error.BaykeelException;
 import org.baykeel.core.error.ErrorKind;
 import org.baykeel.gateway.buffering.CallerFlow;
-import org.baykeel.gateway.call.AnswerHead;
 import org.baykeel.gateway.call.CallAttributes;
 import org.baykeel.gateway.call.CallCoordinator;
 import org.baykeel.gateway.call.CallRequest;
@@ -39,6 +38,7 @@
 import org.baykeel.gateway.call.ClientCall;
 import org.baykeel.gateway.call.GatewayState;
 import org.baykeel.gateway.call.Refusal;
+import org.baykeel.gateway.call.ResponseHead;
 import org.baykeel.gateway.configuration.RequestLimits;
 import org.baykeel.gateway.telemetry.DecisionLog;
 import org.baykeel.gateway.telemetry.GatewayEvent;
@@ -279,7 +279,7 @@
   }
 
   @Override
-  public void answer(AnswerHead answerHead, byte[] bytes) {
+  public void respond(ResponseHead answerHead, byte[] bytes) {
     HttpResponse response =
         new DefaultHttpResponse(
             HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(answerHead.status()));
@@ -304,7 +304,7 @@
   }
 
   @Override
-  public void begin(AnswerHead answerHead) {
+  public void startStream(ResponseHead answerHead) {
     HttpResponse response =
         new DefaultHttpResponse(
             HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(answerHead.status()));
@@ -315,19 +315,19 @@
   }
 
   @Override
-  public void event(byte[] bytes) {
+  public void sendEvent(byte[] bytes) {
     HttpContent content = new DefaultHttpContent(Unpooled.wrappedBuffer(bytes));
     count(context.writeAndFlush(content), bytes.length);
   }
 
   @Override
-  public void end() {
+  public void endStream() {
     context.write(LastHttpContent.EMPTY_LAST_CONTENT);
     finishAnswer(keepAlive);
   }
 
   @Override
-  public void abort() {
+  public void abortStream() {
     answering = false;
     call = null;
     discarding = true;
@@ -375,7 +375,7 @@
     call = null;
     answering = false;
     if (left != null) {
-      left.callerLeft();
+      left.callerDisconnected();
     }
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/PendingExchange.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/PendingExchange.java
@@ -1,8 +1,8 @@
 package org.baykeel.gateway.http;
 
 import io.netty.handler.codec.http.FullHttpRequest;
-import org.baykeel.gateway.call.AnswerHead;
 import org.baykeel.gateway.call.EngineTransport;
+import org.baykeel.gateway.call.ResponseHead;
 
 /** A request on its way to one engine, and who hears of the answer. */
 final class PendingExchange implements EngineTransport.Exchange {
@@ -83,7 +83,7 @@
     }
   }
 
-  void head(AnswerHead head) {
+  void head(ResponseHead head) {
     if (!cancelled) {
       listener.onHead(head);
     }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/LoadedService.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/LoadedService.java
@@ -8,7 +8,7 @@
 import org.baykeel.gateway.directory.EngineDirectory;
 import org.baykeel.gateway.directory.EngineLoad;
 import org.baykeel.gateway.directory.EngineRecord;
-import org.baykeel.gateway.fairness.OpeningShares;
+import org.baykeel.gateway.fairness.AdmissionShares;
 import org.baykeel.gateway.tenancy.Caller;
 import org.baykeel.gateway.tenancy.LimitUse;
 import org.baykeel.gateway.testing.TestingEventLoop;
@@ -63,7 +63,7 @@
     final EngineDirectory directory = new EngineDirectory(1);
     final ProgramAdmission admission =
         new ProgramAdmission(
-            directory, new Random(random.nextLong()), OpeningShares.EVEN, (event, fields) -> {});
+            directory, new Random(random.nextLong()), AdmissionShares.EVEN, (event, fields) -> {});
 
     Node() {
       for (int i = 0; i < enginesLeft; i++) {
@@ -100,10 +100,10 @@
 
     private void ask() {
       ProgramAdmission admission = nodes.get(node).admission;
-      Opening opening =
-          new Opening(
+      AdmissionRequest opening =
+          new AdmissionRequest(
               kind, rank, Caller.WITHOUT_KEYS, "s", TARGET_MILLIS, aimMillis, LimitUse.UNKNOWN);
-      Judgement judgement = admission.judge(opening, "r", "p", eventLoop.nanoTime());
+      AdmissionDecision judgement = admission.decide(opening, "r", "p", eventLoop.nanoTime());
       if (admitsAll || judgement.admitted()) {
         begunMillis = millis();
         admission.programOpened(kind, aimMillis, eventLoop.nanoTime());
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/TestProgramAdmission.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/TestProgramAdmission.java
@@ -11,7 +11,7 @@
 import org.baykeel.gateway.directory.EngineDirectory;
 import org.baykeel.gateway.directory.EngineLoad;
 import org.baykeel.gateway.directory.EngineRecord;
-import org.baykeel.gateway.fairness.OpeningShares;
+import org.baykeel.gateway.fairness.AdmissionShares;
 import org.baykeel.gateway.tenancy.Caller;
 import org.baykeel.gateway.tenancy.LimitUse;
 import org.junit.jupiter.api.Test;
@@ -26,7 +26,7 @@
 
   private final EngineDirectory engines = new EngineDirectory(1);
   private final List<String> lines = new ArrayList<>();
-  private OpeningShares shares = OpeningShares.EVEN;
+  private AdmissionShares shares = AdmissionShares.EVEN;
   private final ProgramAdmission admission =
       new ProgramAdmission(
           engines,
@@ -35,16 +35,16 @@
           (event, fields) -> lines.add(event.name()));
   private long now = 1_000 * MILLI;
 
-  private static Opening opening(String kind, int rank, long targetMillis) {
-    return new Opening(
+  private static AdmissionRequest opening(String kind, int rank, long targetMillis) {
+    return new AdmissionRequest(
         kind, rank, Caller.WITHOUT_KEYS, "s", targetMillis, AIM_MILLIS, LimitUse.UNKNOWN);
   }
 
-  private boolean admits(Opening opening) {
-    return admission.judge(opening, "r", "p", now).admitted();
+  private boolean admits(AdmissionRequest opening) {
+    return admission.decide(opening, "r", "p", now).admitted();
   }
 
-  private int admitted(Opening opening, int asked) {
+  private int admitted(AdmissionRequest opening, int asked) {
     int admitted = 0;
     for (int i = 0; i < asked; i++) {
       admitted += admits(opening) ? 1 : 0;
@@ -105,8 +105,8 @@
   @ValueSource(ints = {60, 80, 110, 140, 400})
   void aLessUrgentKindNeverGetsMoreThanAnUrgentOneAndIsNotStarved(int waitMillis) {
     waits(waitMillis);
-    Opening urgent = opening("urgent", 0, TARGET_MILLIS);
-    Opening other = opening("other", 2, TARGET_MILLIS * 10);
+    AdmissionRequest urgent = opening("urgent", 0, TARGET_MILLIS);
+    AdmissionRequest other = opening("other", 2, TARGET_MILLIS * 10);
     int urgentAdmitted = 0;
     int otherAdmitted = 0;
     for (int i = 0; i < 400; i++) {
@@ -122,8 +122,8 @@
   @Test
   void aKindWhoseOwnAimIsOutOfReachStillGetsAQuarterOfTheMostUrgentKindsShare() {
     waits(120);
-    Opening urgent = opening("urgent", 0, TARGET_MILLIS * 3);
-    Opening other = opening("other", 1, 20);
+    AdmissionRequest urgent = opening("urgent", 0, TARGET_MILLIS * 3);
+    AdmissionRequest other = opening("other", 1, 20);
     int urgentAdmitted = 0;
     int otherAdmitted = 0;
     for (int i = 0; i < 400; i++) {
@@ -137,7 +137,7 @@
 
   @Test
   void theShareFallsAtOnceAndRisesWithinThePredictedTimeOfAProgram() {
-    Opening opening = opening("kind", 0, TARGET_MILLIS);
+    AdmissionRequest opening = opening("kind", 0, TARGET_MILLIS);
     load("s", 9);
     assertTrue(admission.unrestricted(opening, now));
     waits(5_000);
@@ -170,11 +170,12 @@
 
   @Test
   void aProgramThatCannotEndInItsTimeGivesWayOnlyWhereRoomIsScarce() {
-    Opening late =
-        new Opening("kind", 0, Caller.WITHOUT_KEYS, "s", TARGET_MILLIS, 20, LimitUse.UNKNOWN);
+    AdmissionRequest late =
+        new AdmissionRequest(
+            "kind", 0, Caller.WITHOUT_KEYS, "s", TARGET_MILLIS, 20, LimitUse.UNKNOWN);
     assertTrue(admits(late));
     waits(100);
-    assertEquals(Judgement.Cause.TOO_LATE, admission.judge(late, "r", "p", now).cause());
+    assertEquals(AdmissionDecision.Cause.TOO_LATE, admission.decide(late, "r", "p", now).cause());
     assertTrue(admitted(opening("kind", 0, TARGET_MILLIS), 10) > 0);
   }
 
@@ -207,7 +208,8 @@
     waits(waitMillis);
     List<Long> delays = new ArrayList<>();
     while (delays.size() < 200) {
-      Judgement judgement = admission.judge(opening("kind", 0, TARGET_MILLIS), "r", "p", now);
+      AdmissionDecision judgement =
+          admission.decide(opening("kind", 0, TARGET_MILLIS), "r", "p", now);
       if (!judgement.admitted()) {
         delays.add(judgement.retryMillis());
       }
@@ -220,7 +222,7 @@
 
   @Test
   void refusalsAndChangesOfTheShareAreTold() {
-    Opening opening = opening("kind", 0, TARGET_MILLIS);
+    AdmissionRequest opening = opening("kind", 0, TARGET_MILLIS);
     admits(opening);
     assertEquals(List.of(), lines);
     waits(5_000);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/SingleEngineNode.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/SingleEngineNode.java
@@ -17,7 +17,7 @@
 import org.baykeel.gateway.directory.EngineDirectory;
 import org.baykeel.gateway.directory.EngineId;
 import org.baykeel.gateway.directory.EngineRecord;
-import org.baykeel.gateway.fairness.OpeningShares;
+import org.baykeel.gateway.fairness.AdmissionShares;
 import org.baykeel.gateway.history.TurnHistory;
 import org.baykeel.gateway.history.TurnSource;
 import org.baykeel.gateway.ratelimit.RequestLimiter;
@@ -59,7 +59,7 @@
                 new EngineSelector(engines, "z", new Random(1)),
                 new BackendSelector(),
                 new ProgramAdmission(
-                    engines, new Random(1), OpeningShares.EVEN, (event, fields) -> {}),
+                    engines, new Random(1), AdmissionShares.EVEN, (event, fields) -> {}),
                 new ProgramBudgets(store, eventLoop, new GrantIds(1), GrantSource.NONE),
                 new TurnHistory(store, eventLoop, 1 << 20, TurnSource.NONE),
                 Urgency.NONE,
@@ -67,7 +67,7 @@
                 storeHealth,
                 (event, fields) -> {},
                 new GatewayMetrics()));
-    state.offer(
+    state.adoptIfNewer(
         new GatewayConfiguration(
             1,
             List.of(route(kind, resumable)),
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestAdmission.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestAdmission.java
@@ -15,14 +15,14 @@
 import org.baykeel.gateway.budget.GrantIds;
 import org.baykeel.gateway.budget.GrantSource;
 import org.baykeel.gateway.budget.ProgramBudgets;
-import org.baykeel.gateway.call.Admission.Outcome;
+import org.baykeel.gateway.call.CallAuthorization.Outcome;
 import org.baykeel.gateway.configuration.Backend;
 import org.baykeel.gateway.configuration.GatewayConfiguration;
 import org.baykeel.gateway.configuration.RequestLimits;
 import org.baykeel.gateway.configuration.Route;
 import org.baykeel.gateway.configuration.RouteKind;
 import org.baykeel.gateway.directory.EngineDirectory;
-import org.baykeel.gateway.fairness.OpeningShares;
+import org.baykeel.gateway.fairness.AdmissionShares;
 import org.baykeel.gateway.history.TurnHistory;
 import org.baykeel.gateway.history.TurnSource;
 import org.baykeel.gateway.ratelimit.LimitedRequest;
@@ -72,7 +72,7 @@
             route("/turn/", RouteKind.STREAMING, false),
             route("/tool/", RouteKind.UNSAFE, false),
             route("/open/", RouteKind.UNSAFE, true));
-    state.offer(
+    state.adoptIfNewer(
         new GatewayConfiguration(version, routes, List.of(), RequestLimits.DEFAULT, tenants));
   }
 
@@ -121,7 +121,7 @@
             attributes,
             eventLoop.nanoTime());
     outcomes.clear();
-    new Admission(context(), request, outcomes::add).begin();
+    new CallAuthorization(context(), request, outcomes::add).begin();
     return outcomes.isEmpty() ? null : outcomes.get(0);
   }
 
@@ -133,7 +133,7 @@
         this::limit,
         new EngineSelector(engines, "z", new Random(1)),
         new BackendSelector(),
-        new ProgramAdmission(engines, new Random(1), OpeningShares.EVEN, (event, fields) -> {}),
+        new ProgramAdmission(engines, new Random(1), AdmissionShares.EVEN, (event, fields) -> {}),
         budgets,
         new TurnHistory(store, eventLoop, 1_000, TurnSource.NONE),
         Urgency.NONE,
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestClientCall.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestClientCall.java
@@ -23,7 +23,7 @@
 import org.baykeel.gateway.directory.EngineDirectory;
 import org.baykeel.gateway.directory.EngineId;
 import org.baykeel.gateway.directory.EngineRecord;
-import org.baykeel.gateway.fairness.OpeningShares;
+import org.baykeel.gateway.fairness.AdmissionShares;
 import org.baykeel.gateway.history.TurnHistory;
 import org.baykeel.gateway.history.TurnSource;
 import org.baykeel.gateway.ratelimit.RequestLimiter;
@@ -60,7 +60,7 @@
   private final GatewayState state =
       new GatewayState(eventLoop, storeHealth, engines, (event, fields) -> {});
   private final ProgramAdmission admission =
-      new ProgramAdmission(engines, new Random(1), OpeningShares.EVEN, (event, fields) -> {});
+      new ProgramAdmission(engines, new Random(1), AdmissionShares.EVEN, (event, fields) -> {});
   private GatewayContext context;
 
   @BeforeEach
@@ -85,7 +85,7 @@
             storeHealth,
             (event, fields) -> {},
             new GatewayMetrics());
-    state.offer(
+    state.adoptIfNewer(
         new GatewayConfiguration(
             1,
             List.of(
@@ -367,7 +367,7 @@
   @Test
   void aCallerThatLeavesEndsTheRun() {
     ClientCall call = call("/resumable/");
-    call.callerLeft();
+    call.callerDisconnected();
     assertTrue(transport.last().cancelled());
     eventLoop.advance(5_000);
     assertEquals(1, transport.count());
@@ -537,7 +537,7 @@
   @Test
   void aCallerThatLeavesWhileItsProgramIsLookedUpEndsIt() {
     congest();
-    call("/once/", "r", null, "p", 10_000).callerLeft();
+    call("/once/", "r", null, "p", 10_000).callerDisconnected();
     eventLoop.advance(20);
     assertEquals(List.of(), responder.heard());
     assertEquals(0, transport.count());
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestRoomOfTools.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestRoomOfTools.java
@@ -23,7 +23,7 @@
 import org.baykeel.gateway.directory.Engine;
 import org.baykeel.gateway.directory.EngineDirectory;
 import org.baykeel.gateway.directory.EngineRecord;
-import org.baykeel.gateway.fairness.OpeningShares;
+import org.baykeel.gateway.fairness.AdmissionShares;
 import org.baykeel.gateway.history.TurnHistory;
 import org.baykeel.gateway.history.TurnSource;
 import org.baykeel.gateway.ratelimit.RequestLimiter;
@@ -106,10 +106,10 @@
       listener.onComplete();
     }
 
-    private AnswerHead head(int status) {
+    private ResponseHead head(int status) {
       boolean success = status == 200;
-      AnswerTraits traits = new AnswerTraits("r", !success, success, false);
-      return new AnswerHead(status, new DefaultHttpHeaders(), traits);
+      ResponseTraits traits = new ResponseTraits("r", !success, success, false);
+      return new ResponseHead(status, new DefaultHttpHeaders(), traits);
     }
   }
 
@@ -129,7 +129,7 @@
       directory.performanceOf("s").observeNonStream(WORK_MILLIS);
     }
     GatewayState state = new GatewayState(eventLoop, storeHealth, directory, (event, fields) -> {});
-    state.offer(
+    state.adoptIfNewer(
         new GatewayConfiguration(
             1, List.of(route()), List.of(new ServiceProfile("s", 100, 1)), RequestLimits.DEFAULT));
     return new CallCoordinator(
@@ -140,7 +140,7 @@
             RequestLimiter.NONE,
             new EngineSelector(directory, "z", new SplittableRandom(number)),
             new BackendSelector(),
-            new ProgramAdmission(directory, random, OpeningShares.EVEN, (event, fields) -> {}),
+            new ProgramAdmission(directory, random, AdmissionShares.EVEN, (event, fields) -> {}),
             new ProgramBudgets(store, eventLoop, new GrantIds(number), GrantSource.NONE),
             new TurnHistory(store, eventLoop, 1 << 20, TurnSource.NONE),
             Urgency.NONE,
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestRoomQueue.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestRoomQueue.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.api.Test;
 
 class TestRoomQueue {
-  private static final RoomQueue.Need NEED = new RoomQueue.Need("s", Residency.ANY, false);
+  private static final WaitQueue.Need NEED = new WaitQueue.Need("s", Residency.ANY, false);
   private static final long NO_AIM = 0;
 
   private final TestingEventLoop eventLoop = new TestingEventLoop();
-  private final RoomQueue queue = new RoomQueue(eventLoop);
+  private final WaitQueue queue = new WaitQueue(eventLoop);
   private final List<String> heard = new ArrayList<>();
   private long nextPlaceNanos = after(100);
 
@@ -22,9 +22,9 @@
     return eventLoop.nanoTime() + millis * 1_000_000;
   }
 
-  private RoomQueue.Ticket join(String name, long aimNanos, long deadlineMillis) {
-    RoomQueue.Waiter waiter =
-        new RoomQueue.Waiter() {
+  private WaitQueue.Ticket join(String name, long aimNanos, long deadlineMillis) {
+    WaitQueue.Waiter waiter =
+        new WaitQueue.Waiter() {
           @Override
           public long nextPlaceNanos() {
             return nextPlaceNanos;
@@ -88,7 +88,7 @@
 
   @Test
   void whoHasLeftHearsNothing() {
-    RoomQueue.Ticket ticket = join("left", NO_AIM, 1_000);
+    WaitQueue.Ticket ticket = join("left", NO_AIM, 1_000);
     ticket.leave();
     ticket.leave();
     eventLoop.advance(2_000);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/LoopbackGateway.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/LoopbackGateway.java
@@ -25,7 +25,7 @@
 import org.baykeel.gateway.configuration.Route;
 import org.baykeel.gateway.directory.EngineDirectory;
 import org.baykeel.gateway.directory.EngineRecord;
-import org.baykeel.gateway.fairness.OpeningShares;
+import org.baykeel.gateway.fairness.AdmissionShares;
 import org.baykeel.gateway.history.TurnHistory;
 import org.baykeel.gateway.history.TurnSource;
 import org.baykeel.gateway.ratelimit.RequestLimiter;
@@ -61,7 +61,7 @@
     GatewayState state = new GatewayState(eventLoop, health, engines, (event, fields) -> {});
     state.replaceEngines(
         List.of(new EngineRecord("e", "s", "127.0.0.1", enginePort, "z", 4, false)));
-    state.offer(new GatewayConfiguration(1, List.of(route), List.of(), limits));
+    state.adoptIfNewer(new GatewayConfiguration(1, List.of(route), List.of(), limits));
     TestingStore store = new TestingStore(new TestingEventLoop());
     TestingTranslator translator = new TestingTranslator();
     GatewayContext context =
@@ -72,7 +72,8 @@
             RequestLimiter.NONE,
             new EngineSelector(engines, "z", new Random(1)),
             new BackendSelector(),
-            new ProgramAdmission(engines, new Random(1), OpeningShares.EVEN, (event, fields) -> {}),
+            new ProgramAdmission(
+                engines, new Random(1), AdmissionShares.EVEN, (event, fields) -> {}),
             new ProgramBudgets(store, eventLoop, new GrantIds(1), GrantSource.NONE),
             new TurnHistory(store, eventLoop, 1_000, TurnSource.NONE),
             Urgency.NONE,
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestEngineConnection.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestEngineConnection.java
@@ -10,10 +10,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.baykeel.gateway.call.AnswerHead;
 import org.baykeel.gateway.call.CallRequest;
 import org.baykeel.gateway.call.EngineRequest;
 import org.baykeel.gateway.call.EngineTransport;
+import org.baykeel.gateway.call.ResponseHead;
 import org.baykeel.gateway.directory.Engine;
 import org.baykeel.gateway.directory.EngineDirectory;
 import org.baykeel.gateway.directory.EngineRecord;
@@ -72,7 +72,7 @@
           private final StringBuilder body = new StringBuilder();
 
           @Override
-          public void onHead(AnswerHead head) {
+          public void onHead(ResponseHead head) {
             body.append(head.status()).append(' ');
           }
 
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSilentConnections.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSilentConnections.java
@@ -17,10 +17,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.baykeel.gateway.budget.GrantTransfer;
-import org.baykeel.gateway.call.AnswerHead;
 import org.baykeel.gateway.call.CallRequest;
 import org.baykeel.gateway.call.EngineRequest;
 import org.baykeel.gateway.call.EngineTransport;
+import org.baykeel.gateway.call.ResponseHead;
 import org.baykeel.gateway.directory.Engine;
 import org.baykeel.gateway.directory.EngineDirectory;
 import org.baykeel.gateway.directory.EngineRecord;
@@ -68,7 +68,7 @@
     private final CompletableFuture<EngineTransport.Exchange> exchange = new CompletableFuture<>();
 
     @Override
-    public void onHead(AnswerHead head) {}
+    public void onHead(ResponseHead head) {}
 
     @Override
     public void onBody(byte[] bytes) {}
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestDecisionsScale.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestDecisionsScale.java
@@ -11,14 +11,14 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import org.baykeel.gateway.admission.Opening;
+import org.baykeel.gateway.admission.AdmissionRequest;
 import org.baykeel.gateway.admission.ProgramAdmission;
 import org.baykeel.gateway.directory.Engine;
 import org.baykeel.gateway.directory.EngineDirectory;
 import org.baykeel.gateway.directory.EngineRecord;
 import org.baykeel.gateway.directory.PromptPart;
 import org.baykeel.gateway.directory.ServicePerformance;
-import org.baykeel.gateway.fairness.OpeningShares;
+import org.baykeel.gateway.fairness.AdmissionShares;
 import org.baykeel.gateway.scheduling.EngineSelector.Criteria;
 import org.baykeel.gateway.tenancy.Caller;
 import org.baykeel.gateway.tenancy.LimitUse;
@@ -90,15 +90,15 @@
       admission.observeWait(SERVICE, waitMillis, 0);
     }
     assertTrue(admission.unrestricted(opening(1, TARGET_MILLIS), 0));
-    assertTrue(admission.timeToSpare(SERVICE, TARGET_MILLIS, 0), waitMillis + " ms");
+    assertTrue(admission.hasSpareCapacity(SERVICE, TARGET_MILLIS, 0), waitMillis + " ms");
   }
 
   private ProgramAdmission admission() {
-    return new ProgramAdmission(directory, random, OpeningShares.EVEN, (event, fields) -> {});
+    return new ProgramAdmission(directory, random, AdmissionShares.EVEN, (event, fields) -> {});
   }
 
-  private static Opening opening(int rank, long targetMillis) {
-    return new Opening(
+  private static AdmissionRequest opening(int rank, long targetMillis) {
+    return new AdmissionRequest(
         "kind", rank, Caller.WITHOUT_KEYS, SERVICE, targetMillis, 0, LimitUse.UNKNOWN);
   }
 
@@ -171,7 +171,7 @@
     for (int rank = 0; rank < 2; rank++) {
       int refused = 0;
       for (int i = 0; i < 20; i++) {
-        refused += admission.judge(opening(rank, targetMillis), "r", "p", 0).admitted() ? 0 : 1;
+        refused += admission.decide(opening(rank, targetMillis), "r", "p", 0).admitted() ? 0 : 1;
       }
       assertTrue(refused >= 18, "rank " + rank + " refused " + refused);
     }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedEngines.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedEngines.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import org.baykeel.gateway.call.AnswerHead;
-import org.baykeel.gateway.call.AnswerTraits;
 import org.baykeel.gateway.call.EngineRequest;
 import org.baykeel.gateway.call.EngineTransport;
+import org.baykeel.gateway.call.ResponseHead;
+import org.baykeel.gateway.call.ResponseTraits;
 import org.baykeel.gateway.directory.Engine;
 import org.baykeel.gateway.testing.TestingEventLoop;
 
@@ -162,9 +162,9 @@
     }
   }
 
-  private static AnswerHead head(int status, boolean notExecuted) {
-    AnswerTraits traits = new AnswerTraits("r", notExecuted, !notExecuted, !notExecuted);
-    return new AnswerHead(status, new DefaultHttpHeaders(), traits);
+  private static ResponseHead head(int status, boolean notExecuted) {
+    ResponseTraits traits = new ResponseTraits("r", notExecuted, !notExecuted, !notExecuted);
+    return new ResponseHead(status, new DefaultHttpHeaders(), traits);
   }
 
   @Override
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedNode.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedNode.java
@@ -17,7 +17,7 @@
 import org.baykeel.gateway.directory.EngineDirectory;
 import org.baykeel.gateway.directory.EngineId;
 import org.baykeel.gateway.directory.EngineRecord;
-import org.baykeel.gateway.fairness.OpeningShares;
+import org.baykeel.gateway.fairness.AdmissionShares;
 import org.baykeel.gateway.history.TurnHistory;
 import org.baykeel.gateway.ratelimit.RequestLimiter;
 import org.baykeel.gateway.scheduling.BackendSelector;
@@ -59,7 +59,7 @@
       records.add(entry("e" + i, engines.bornMillis("e" + i)));
     }
     state.replaceEngines(records);
-    state.offer(configuration);
+    state.adoptIfNewer(configuration);
     side = handover.new Node();
     history = new TurnHistory(store, eventLoop, CACHE_BYTES, side);
     ProgramBudgets budgets =
@@ -74,7 +74,8 @@
                 RequestLimiter.NONE,
                 new EngineSelector(directory, "z", random),
                 new BackendSelector(),
-                new ProgramAdmission(directory, random, OpeningShares.EVEN, (event, fields) -> {}),
+                new ProgramAdmission(
+                    directory, random, AdmissionShares.EVEN, (event, fields) -> {}),
                 budgets,
                 history,
                 new ProgramUrgency(),
@@ -118,6 +119,6 @@
   /** The node loses power: its connections to engines are gone, and nobody hears of it again. */
   void losePower() {
     side.leave();
-    calls.forEach(ClientCall::callerLeft);
+    calls.forEach(ClientCall::callerDisconnected);
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedProgram.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedProgram.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 import org.baykeel.gateway.buffering.CallerFlow;
 import org.baykeel.gateway.buffering.HeldBytes;
-import org.baykeel.gateway.call.AnswerHead;
 import org.baykeel.gateway.call.CallAttributes;
 import org.baykeel.gateway.call.CallRequest;
 import org.baykeel.gateway.call.CallResponder;
 import org.baykeel.gateway.call.Refusal;
+import org.baykeel.gateway.call.ResponseHead;
 import org.baykeel.gateway.testing.TestingEventLoop;
 
 /** A program's caller: takes turns, one try after the other, and notes all it gets. */
@@ -86,15 +86,15 @@
     }
 
     @Override
-    public void answer(AnswerHead head, byte[] body) {
+    public void respond(ResponseHead head, byte[] body) {
       over = true;
     }
 
     @Override
-    public void begin(AnswerHead head) {}
+    public void startStream(ResponseHead head) {}
 
     @Override
-    public void event(byte[] bytes) {
+    public void sendEvent(byte[] bytes) {
       if (nodeGone) {
         return;
       }
@@ -105,7 +105,7 @@
     }
 
     @Override
-    public void end() {
+    public void endStream() {
       if (!nodeGone) {
         ended = true;
         over = true;
@@ -113,7 +113,7 @@
     }
 
     @Override
-    public void abort() {
+    public void abortStream() {
       over = true;
     }
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingResponder.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingResponder.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import org.baykeel.gateway.buffering.CallerFlow;
 import org.baykeel.gateway.buffering.HeldBytes;
-import org.baykeel.gateway.call.AnswerHead;
 import org.baykeel.gateway.call.CallResponder;
 import org.baykeel.gateway.call.Refusal;
+import org.baykeel.gateway.call.ResponseHead;
 
 /** Notes what a caller gets. */
 public final class TestingResponder implements CallResponder {
@@ -47,27 +47,27 @@
   }
 
   @Override
-  public void answer(AnswerHead head, byte[] body) {
+  public void respond(ResponseHead head, byte[] body) {
     heard.add("answer " + head.status() + " " + new String(body, StandardCharsets.UTF_8));
   }
 
   @Override
-  public void begin(AnswerHead head) {
+  public void startStream(ResponseHead head) {
     heard.add("begin");
   }
 
   @Override
-  public void event(byte[] bytes) {
+  public void sendEvent(byte[] bytes) {
     heard.add(new String(bytes, StandardCharsets.UTF_8).trim().replace('\n', ' '));
   }
 
   @Override
-  public void end() {
+  public void endStream() {
     heard.add("end");
   }
 
   @Override
-  public void abort() {
+  public void abortStream() {
     heard.add("abort");
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingTranslator.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingTranslator.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import org.baykeel.core.error.BaykeelException;
 import org.baykeel.core.error.ErrorKind;
-import org.baykeel.gateway.call.AnswerTraits;
 import org.baykeel.gateway.call.CallAttributes;
 import org.baykeel.gateway.call.EngineRequest;
 import org.baykeel.gateway.call.Refusal;
+import org.baykeel.gateway.call.ResponseTraits;
 import org.baykeel.gateway.directory.Engine;
 import org.baykeel.gateway.http.CallTranslator;
 import org.baykeel.gateway.http.ConnectionFields;
@@ -36,9 +36,9 @@
   }
 
   @Override
-  public AnswerTraits traits(HttpResponse response) {
+  public ResponseTraits traits(HttpResponse response) {
     HttpHeaders headers = response.headers();
-    return new AnswerTraits(
+    return new ResponseTraits(
         headers.get(ID),
         headers.contains("X-Not-Run"),
         headers.contains("X-Signed"),
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingTransport.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingTransport.java
@@ -4,10 +4,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import org.baykeel.gateway.call.AnswerHead;
-import org.baykeel.gateway.call.AnswerTraits;
 import org.baykeel.gateway.call.EngineRequest;
 import org.baykeel.gateway.call.EngineTransport;
+import org.baykeel.gateway.call.ResponseHead;
+import org.baykeel.gateway.call.ResponseTraits;
 import org.baykeel.gateway.directory.Engine;
 
 /** Notes what is sent to engines and lets the test answer. */
@@ -66,8 +66,8 @@
 
     /** Answers with a head. */
     public Sent head(int status, boolean signed, boolean eventStream, boolean notExecuted) {
-      AnswerTraits traits = new AnswerTraits("r", notExecuted, signed, eventStream);
-      listener.onHead(new AnswerHead(status, new DefaultHttpHeaders(), traits));
+      ResponseTraits traits = new ResponseTraits("r", notExecuted, signed, eventStream);
+      listener.onHead(new ResponseHead(status, new DefaultHttpHeaders(), traits));
       return this;
     }
 
