--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/GrantSource.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/GrantSource.java
@@ -16,7 +16,7 @@
         }
 
         @Override
-        public void holds(ProgramId program) {}
+        public void announceHolder(ProgramId program) {}
       };
 
   /**
@@ -27,5 +27,5 @@
   void request(ProgramId program, Consumer<Optional<GrantTransfer>> answer);
 
   /** This process was the last to be granted tokens of a program; others may ask it for them. */
-  void holds(ProgramId program);
+  void announceHolder(ProgramId program);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ProgramAccount.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ProgramAccount.java
@@ -79,9 +79,9 @@
     Reservation reservation = new Reservation(this, tokens, giveUpNanos, onDecided);
     if (waiting.isEmpty() && allowance >= tokens) {
       allowance -= tokens;
-      reservation.decideSilently(Grant.GRANTED);
+      reservation.decideSilently(ReservationStatus.GRANTED);
     } else if (knownExhausted(tokens)) {
-      reservation.decideSilently(Grant.EXHAUSTED);
+      reservation.decideSilently(ReservationStatus.EXHAUSTED);
     } else {
       waiting.add(reservation);
       reservation.quiet(true);
@@ -113,7 +113,7 @@
   void released(Reservation reservation, int unusedTokens) {
     openReservations--;
     lastUsedNanos = eventLoop.nanoTime();
-    if (reservation.grant() == Grant.GRANTED) {
+    if (reservation.status() == ReservationStatus.GRANTED) {
       allowance += unusedTokens;
     } else {
       waiting.remove(reservation);
@@ -139,7 +139,7 @@
     }
     long grant = tokensToAskFor();
     if (grant == 0) {
-      refuseAll(Grant.EXHAUSTED);
+      refuseAll(ReservationStatus.EXHAUSTED);
       return;
     }
     asking = true;
@@ -185,7 +185,7 @@
   private void becomeHolder() {
     if (!holder) {
       holder = true;
-      source.holds(program);
+      source.announceHolder(program);
     }
   }
 
@@ -263,11 +263,11 @@
     while (!waiting.isEmpty() && allowance >= waiting.peek().tokens()) {
       Reservation reservation = waiting.poll();
       allowance -= reservation.tokens();
-      reservation.decide(Grant.GRANTED);
+      reservation.decide(ReservationStatus.GRANTED);
     }
   }
 
-  private void refuseAll(Grant refusal) {
+  private void refuseAll(ReservationStatus refusal) {
     while (!waiting.isEmpty()) {
       waiting.poll().decide(refusal);
     }
@@ -278,7 +278,7 @@
     for (Reservation reservation : List.copyOf(waiting)) {
       if (now - reservation.giveUpNanos() >= 0) {
         waiting.remove(reservation);
-        reservation.decide(Grant.UNAVAILABLE);
+        reservation.decide(ReservationStatus.UNAVAILABLE);
       }
     }
     if (!waiting.isEmpty()) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ProgramBudgets.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ProgramBudgets.java
@@ -58,13 +58,13 @@
   }
 
   /** Whether this process has learnt of the program from the store. */
-  public boolean knows(String program) {
+  public boolean isKnown(String program) {
     ProgramAccount account = accounts.get(program);
     return account != null && account.known();
   }
 
   /** What the store says of a program. */
-  public enum Begun {
+  public enum Started {
     /** Some process was granted tokens of it. */
     YES,
     /** Nobody was. */
@@ -78,14 +78,14 @@
    *
    * @param answer takes what the store says, exactly once
    */
-  public void findBegun(String program, Consumer<Begun> answer) {
+  public void findStarted(String program, Consumer<Started> answer) {
     store.read(
         new RangeRead(TABLE, program, KEY, 1),
         outcome -> {
           if (outcome instanceof ReadOutcome.Rows found) {
-            answer.accept(found.rows().isEmpty() ? Begun.NO : Begun.YES);
+            answer.accept(found.rows().isEmpty() ? Started.NO : Started.YES);
           } else {
-            answer.accept(Begun.UNKNOWN);
+            answer.accept(Started.UNKNOWN);
           }
         });
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/Reservation.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/Reservation.java
@@ -6,7 +6,7 @@
   private final int tokens;
   private final long giveUpNanos;
   private final Runnable onDecided;
-  private Grant grant = Grant.PENDING;
+  private ReservationStatus status = ReservationStatus.PENDING;
   private int usedTokens;
   private boolean closed;
   private boolean quiet;
@@ -30,13 +30,13 @@
     return closed;
   }
 
-  /** The decision, or {@link Grant#PENDING}. */
-  public Grant grant() {
-    return grant;
+  /** The decision, or {@link ReservationStatus#PENDING}. */
+  public ReservationStatus status() {
+    return status;
   }
 
-  void decide(Grant decision) {
-    grant = decision;
+  void decide(ReservationStatus decision) {
+    status = decision;
     if (!closed && !quiet) {
       onDecided.run();
     }
@@ -47,12 +47,12 @@
     quiet = nowQuiet;
   }
 
-  void decideSilently(Grant decision) {
-    grant = decision;
+  void decideSilently(ReservationStatus decision) {
+    status = decision;
   }
 
   /** Whether the program was unknown to the store before this process's first grant. */
-  public boolean programOpenedHere() {
+  public boolean programStartedHere() {
     return account.openedHere();
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/Grant.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ReservationStatus.java
@@ -1,7 +1,7 @@
 package org.baykeel.gateway.budget;
 
 /** Whether a turn may hand out tokens. */
-public enum Grant {
+public enum ReservationStatus {
   /** The store's answer is awaited. */
   PENDING,
   /** The tokens are reserved for the turn. */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallAuthorization.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallAuthorization.java
@@ -8,10 +8,10 @@
 import org.baykeel.gateway.configuration.RouteKind;
 import org.baykeel.gateway.program.ProgramId;
 import org.baykeel.gateway.ratelimit.LimitedRequest;
-import org.baykeel.gateway.ratelimit.RequestClass;
+import org.baykeel.gateway.ratelimit.RequestKind;
 import org.baykeel.gateway.ratelimit.RequestLimiter.Decision;
 import org.baykeel.gateway.tenancy.Caller;
-import org.baykeel.gateway.tenancy.KeyAuthenticator.Verdict;
+import org.baykeel.gateway.tenancy.KeyAuthenticator.KeyDecision;
 import org.baykeel.gateway.tenancy.LimitUse;
 import org.baykeel.gateway.tenancy.Tenant;
 
@@ -93,7 +93,7 @@
     } else {
       context
           .authenticator()
-          .judge(request.attributes().apiKey(), request.receivedNanos(), this::onVerdict);
+          .authenticate(request.attributes().apiKey(), request.receivedNanos(), this::onVerdict);
     }
   }
 
@@ -105,11 +105,11 @@
     }
   }
 
-  private void onVerdict(Verdict verdict) {
-    if (verdict instanceof Verdict.Accepted accepted) {
+  private void onVerdict(KeyDecision verdict) {
+    if (verdict instanceof KeyDecision.Accepted accepted) {
       context.metrics().keyJudged("accepted");
       takeOffLimit(accepted.tenant());
-    } else if (verdict instanceof Verdict.Undecided undecided) {
+    } else if (verdict instanceof KeyDecision.Undecided undecided) {
       context.metrics().keyJudged("undecided");
       String detail = "configuration too old, proven_ms_ago=" + undecided.ageMillis();
       refuse(ErrorKind.NOT_READY, retryMillis(STALE_RETRY_MILLIS), detail);
@@ -154,10 +154,10 @@
     boolean opening =
         route.kind() == RouteKind.STREAMING
             && attributes.firstLine()
-            && !context.budgets().knows(program);
+            && !context.budgets().isKnown(program);
     return new LimitedRequest(
         tenant,
-        opening ? RequestClass.OPENING : RequestClass.CONTINUING,
+        opening ? RequestKind.FIRST_TURN : RequestKind.CONTINUING,
         Optional.ofNullable(program).map(ProgramId::new));
   }
 
@@ -171,7 +171,7 @@
               + " burst="
               + tenant.limit().burst()
               + " left="
-              + exceeded.left();
+              + exceeded.remaining();
       refuse(tenant, ErrorKind.RATE_LIMITED, exceeded.retryMillis(), detail);
     } else {
       refuse(
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ClientCall.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ClientCall.java
@@ -1,7 +1,7 @@
 package org.baykeel.gateway.call;
 
 import org.baykeel.core.error.ErrorKind;
-import org.baykeel.gateway.budget.Grant;
+import org.baykeel.gateway.budget.ReservationStatus;
 import org.baykeel.gateway.configuration.Route;
 import org.baykeel.gateway.history.TurnHistory.Lookup;
 import org.baykeel.gateway.runtime.EventLoop;
@@ -107,16 +107,16 @@
   }
 
   private boolean budgetAdmits() {
-    Grant grant = budget.reserve(call.deadlineNanos(), this::onGrantDecided);
-    if (grant == Grant.EXHAUSTED) {
+    ReservationStatus grant = budget.reserve(call.deadlineNanos(), this::onGrantDecided);
+    if (grant == ReservationStatus.EXHAUSTED) {
       refuse(ErrorKind.BUDGET_EXCEEDED, 0, "budget spent");
       return false;
     }
-    if (grant == Grant.PENDING && budget.mustNotWaitForStore()) {
+    if (grant == ReservationStatus.PENDING && budget.mustNotWaitForStore()) {
       refuse(ErrorKind.STORE_UNAVAILABLE, STORE_RETRY_MILLIS, "no grant without store");
       return false;
     }
-    if (grant == Grant.GRANTED) {
+    if (grant == ReservationStatus.GRANTED) {
       relay.open();
     } else {
       record.waitBegan(CallRecord.Wait.GRANT);
@@ -200,7 +200,7 @@
   @Override
   public void onStreamComplete() {
     streamComplete = true;
-    if (budget.grant() == Grant.GRANTED) {
+    if (budget.grant() == ReservationStatus.GRANTED) {
       finishStream();
     }
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ProgramStart.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ProgramStart.java
@@ -6,7 +6,7 @@
 import org.baykeel.gateway.admission.AdmissionDecision;
 import org.baykeel.gateway.admission.AdmissionRequest;
 import org.baykeel.gateway.admission.ProgramAdmission;
-import org.baykeel.gateway.budget.ProgramBudgets.Begun;
+import org.baykeel.gateway.budget.ProgramBudgets.Started;
 import org.baykeel.gateway.configuration.Route;
 import org.baykeel.gateway.configuration.RouteKind;
 import org.baykeel.gateway.directory.Engine;
@@ -62,7 +62,7 @@
     } else if (!context.storeHealth().reachable()) {
       begin(admitted);
     } else {
-      context.budgets().findBegun(program, begun -> onFound(begun, admitted, refused));
+      context.budgets().findStarted(program, begun -> onFound(begun, admitted, refused));
     }
   }
 
@@ -77,7 +77,7 @@
     if (!attributes.firstLine() || attributes.previousTurn() != null || admission.served(line)) {
       return false;
     }
-    return attributes.budgeted() ? !context.budgets().knows(program) : !promptSeen();
+    return attributes.budgeted() ? !context.budgets().isKnown(program) : !promptSeen();
   }
 
   /** Whether an engine was sent a prompt with the same last part, which grows with the program. */
@@ -90,14 +90,14 @@
     return false;
   }
 
-  private void onFound(Begun begun, Runnable admitted, Consumer<Refusal> refused) {
+  private void onFound(Started begun, Runnable admitted, Consumer<Refusal> refused) {
     if (closed) {
       return;
     }
-    if (begun == Begun.NO) {
+    if (begun == Started.NO) {
       decide(admitted, refused);
     } else {
-      begunElsewhere = begun == Begun.YES;
+      begunElsewhere = begun == Started.YES;
       begin(admitted);
     }
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/SilenceWatch.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/SilenceWatch.java
@@ -72,7 +72,7 @@
   }
 
   private long allowedMillis() {
-    return route.longestSilenceMillis(firstEventNanos != 0);
+    return route.silenceTimeoutMillis(firstEventNanos != 0);
   }
 
   private void check() {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnBudget.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnBudget.java
@@ -1,8 +1,8 @@
 package org.baykeel.gateway.call;
 
 import java.util.function.Consumer;
-import org.baykeel.gateway.budget.Grant;
 import org.baykeel.gateway.budget.Reservation;
+import org.baykeel.gateway.budget.ReservationStatus;
 
 /**
  * Whether a turn may run at all, and the tokens that it may hand out. A turn without a budget has
@@ -51,11 +51,11 @@
    *
    * @param giveUpNanos when the store counts as unavailable
    * @param onDecided runs later if the decision is pending now
-   * @return the decision, or {@link Grant#PENDING}
+   * @return the decision, or {@link ReservationStatus#PENDING}
    */
-  Grant reserve(long giveUpNanos, Runnable onDecided) {
+  ReservationStatus reserve(long giveUpNanos, Runnable onDecided) {
     String program = call.caller().scoped(attributes.programId());
-    programKnown = context.budgets().knows(program) || opening.begunElsewhere();
+    programKnown = context.budgets().isKnown(program) || opening.begunElsewhere();
     reservation =
         context
             .budgets()
@@ -65,19 +65,19 @@
                 attributes.maxOutputTokens(),
                 giveUpNanos,
                 () -> onGrantDecided(onDecided));
-    return reservation.grant();
+    return reservation.status();
   }
 
   private void onGrantDecided(Runnable onDecided) {
-    if (!programKnown && attributes.firstLine() && reservation.programOpenedHere()) {
+    if (!programKnown && attributes.firstLine() && reservation.programStartedHere()) {
       opening.opened();
     }
     onDecided.run();
   }
 
   /** The decision on its tokens. */
-  Grant grant() {
-    return reservation == null ? Grant.GRANTED : reservation.grant();
+  ReservationStatus grant() {
+    return reservation == null ? ReservationStatus.GRANTED : reservation.status();
   }
 
   /**
@@ -89,7 +89,7 @@
   boolean allowsSending() {
     boolean likelyNew = !programKnown && attributes.firstLine();
     boolean likelyGranted = likelyNew || !context.storeHealth().reachable();
-    return grant() != Grant.PENDING || likelyGranted;
+    return grant() != ReservationStatus.PENDING || likelyGranted;
   }
 
   /** Notes tokens that were handed to the caller. */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnChain.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnChain.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.function.Consumer;
-import org.baykeel.gateway.history.KeptTurn;
+import org.baykeel.gateway.history.StoredTurn;
 import org.baykeel.gateway.history.TurnHistory.Lookup;
 import org.baykeel.gateway.program.ProgramId;
 
@@ -44,7 +44,7 @@
    */
   void keep(byte[] output, Consumer<Boolean> answer) {
     String turnId = call.caller().scoped(call.attributes().requestId());
-    KeptTurn turn = new KeptTurn(turnId, ancestors, call.request().body(), output);
-    context.history().keep(turn, call.deadlineNanos(), answer);
+    StoredTurn turn = new StoredTurn(turnId, ancestors, call.request().body(), output);
+    context.history().save(turn, call.deadlineNanos(), answer);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/configuration/Route.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/configuration/Route.java
@@ -58,7 +58,7 @@
    *
    * @param begun whether the first event of a stream is there
    */
-  public long longestSilenceMillis(boolean begun) {
+  public long silenceTimeoutMillis(boolean begun) {
     if (kind == RouteKind.SAFE) {
       long patience = Math.round(timeoutMillis * SAFE_SILENCE_PART_OF_TIMEOUT);
       return Math.min(targetLatencyMillis * SAFE_SILENCE_TARGETS, patience);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/FairShares.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/FairShares.java
@@ -28,10 +28,10 @@
     this.log = log;
     metrics.gauge(
         "baykeel_gateway_opening_share_within_limit_thousandths",
-        () -> meanThousandths(LimitUse::within));
+        () -> meanThousandths(LimitUse::withinLimit));
     metrics.gauge(
         "baykeel_gateway_opening_share_beyond_limit_thousandths",
-        () -> meanThousandths(use -> !use.within()));
+        () -> meanThousandths(use -> !use.withinLimit()));
   }
 
   private long meanThousandths(Predicate<LimitUse> tenants) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/GroupShares.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/GroupShares.java
@@ -102,7 +102,7 @@
     }
     loggedLevel = level;
     loggedNanos = nowNanos;
-    int within = uses.count(multiple -> new LimitUse(multiple).within());
+    int within = uses.count(multiple -> new LimitUse(multiple).withinLimit());
     log.write(
         GatewayEvent.SHARES_CHANGED,
         "level",
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/handover/HandoverClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/handover/HandoverClient.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import org.baykeel.gateway.budget.GrantSource;
 import org.baykeel.gateway.budget.GrantTransfer;
-import org.baykeel.gateway.history.KeptTurn;
+import org.baykeel.gateway.history.StoredTurn;
 import org.baykeel.gateway.history.TurnSource;
 import org.baykeel.gateway.program.ProgramId;
 import org.baykeel.gateway.telemetry.DecisionLog;
@@ -56,12 +56,12 @@
   }
 
   @Override
-  public void holds(ProgramId program) {
-    holders.announce(program);
+  public void announceHolder(ProgramId program) {
+    holders.announceHolder(program);
   }
 
   @Override
-  public void request(ProgramId program, String turnId, Consumer<List<KeptTurn>> answer) {
+  public void request(ProgramId program, String turnId, Consumer<List<StoredTurn>> answer) {
     holders.locate(
         program,
         holder -> {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/handover/HandoverTransport.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/handover/HandoverTransport.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.baykeel.gateway.budget.GrantTransfer;
-import org.baykeel.gateway.history.KeptTurn;
+import org.baykeel.gateway.history.StoredTurn;
 import org.baykeel.gateway.peer.PeerAddress;
 import org.baykeel.gateway.program.ProgramId;
 
@@ -15,5 +15,5 @@
   void requestGrant(PeerAddress peer, ProgramId program, Consumer<Optional<GrantTransfer>> answer);
 
   /** Asks a node for what it has in memory of a turn and all it continues. */
-  void requestTurns(PeerAddress peer, String turnId, Consumer<List<KeptTurn>> answer);
+  void requestTurns(PeerAddress peer, String turnId, Consumer<List<StoredTurn>> answer);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/handover/HolderDirectory.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/handover/HolderDirectory.java
@@ -85,7 +85,7 @@
   }
 
   /** Tells the program's registrar that this node serves it now. */
-  public void announce(ProgramId program) {
+  public void announceHolder(ProgramId program) {
     if (!fits(program)) {
       return;
     }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/history/KeptTurn.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/history/StoredTurn.java
@@ -12,9 +12,9 @@
  * @param output the data of its events, a line feed after each
  */
 @SuppressWarnings("ArrayRecordComponent")
-public record KeptTurn(String id, List<String> ancestors, byte[] input, byte[] output) {
+public record StoredTurn(String id, List<String> ancestors, byte[] input, byte[] output) {
 
-  public KeptTurn {
+  public StoredTurn {
     ancestors = List.copyOf(ancestors);
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/history/KeptTurnCodec.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/history/StoredTurnCodec.java
@@ -11,17 +11,17 @@
 import java.util.List;
 
 /** A kept turn as one or more values of bounded size, the first of which tells their number. */
-public final class KeptTurnCodec {
+public final class StoredTurnCodec {
   private static final byte FORMAT = 1;
 
-  private KeptTurnCodec() {}
+  private StoredTurnCodec() {}
 
   /**
    * A turn without its identifier, as one value.
    *
    * @param turn the turn
    */
-  public static byte[] encodeWhole(KeptTurn turn) {
+  public static byte[] encodeWhole(StoredTurn turn) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(turn.bytes() + 256);
     try (DataOutputStream out = new DataOutputStream(bytes)) {
       out.writeShort(turn.ancestors().size());
@@ -43,7 +43,7 @@
    *
    * @throws IllegalArgumentException if the bytes are none of that
    */
-  public static KeptTurn decodeWhole(String id, byte[] value) {
+  public static StoredTurn decodeWhole(String id, byte[] value) {
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(value))) {
       List<String> ancestors = new ArrayList<>();
       int count = in.readUnsignedShort();
@@ -52,13 +52,13 @@
       }
       byte[] input = in.readNBytes(in.readInt());
       byte[] output = in.readNBytes(in.readInt());
-      return new KeptTurn(id, ancestors, input, output);
+      return new StoredTurn(id, ancestors, input, output);
     } catch (IOException e) {
       throw new IllegalArgumentException("not a kept turn: " + value.length + " bytes", e);
     }
   }
 
-  static List<byte[]> encode(KeptTurn turn, int maxValueBytes) {
+  static List<byte[]> encode(StoredTurn turn, int maxValueBytes) {
     byte[] body = encodeWhole(turn);
     int room = maxValueBytes - 2;
     int pieces = Math.max(1, (body.length + room - 1) / room);
@@ -81,7 +81,7 @@
     return firstValue[1] & 0xFF;
   }
 
-  static KeptTurn decode(String id, List<byte[]> values) {
+  static StoredTurn decode(String id, List<byte[]> values) {
     ByteArrayOutputStream body = new ByteArrayOutputStream();
     for (byte[] value : values) {
       body.write(value, 2, value.length - 2);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/history/TurnCache.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/history/TurnCache.java
@@ -6,7 +6,7 @@
 
 /** Kept turns in memory, bounded by bytes; those unused longest go first. */
 final class TurnCache {
-  private final LinkedHashMap<String, KeptTurn> turns = new LinkedHashMap<>(64, 0.75f, true);
+  private final LinkedHashMap<String, StoredTurn> turns = new LinkedHashMap<>(64, 0.75f, true);
   private final long maxBytes;
   private long bytes;
 
@@ -14,14 +14,14 @@
     this.maxBytes = maxBytes;
   }
 
-  KeptTurn get(String id) {
+  StoredTurn get(String id) {
     return turns.get(id);
   }
 
-  void put(KeptTurn turn) {
-    KeptTurn previous = turns.put(turn.id(), turn);
+  void put(StoredTurn turn) {
+    StoredTurn previous = turns.put(turn.id(), turn);
     bytes += turn.bytes() - (previous == null ? 0 : previous.bytes());
-    Iterator<Map.Entry<String, KeptTurn>> eldest = turns.entrySet().iterator();
+    Iterator<Map.Entry<String, StoredTurn>> eldest = turns.entrySet().iterator();
     while (bytes > maxBytes && eldest.hasNext()) {
       bytes -= eldest.next().getValue().bytes();
       eldest.remove();
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/history/TurnHistory.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/history/TurnHistory.java
@@ -39,17 +39,17 @@
   /** How a search for a turn ended. */
   public sealed interface Lookup {
     /** The turn and all it continues, oldest first. */
-    record Found(List<KeptTurn> chain) implements Lookup {
+    record Found(List<StoredTurn> chain) implements Lookup {
 
       /** The identifiers of the chain, oldest first. */
       public List<String> ids() {
-        return chain.stream().map(KeptTurn::id).toList();
+        return chain.stream().map(StoredTurn::id).toList();
       }
 
       /** What an engine is to read: inputs and outputs of the chain, then the new input. */
       public byte[] continuedBy(byte[] newInput) {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
-        for (KeptTurn turn : chain) {
+        for (StoredTurn turn : chain) {
           body.writeBytes(turn.input());
           body.writeBytes(turn.output());
         }
@@ -80,13 +80,13 @@
 
   /** Whether a turn's whole chain is in memory. */
   public boolean inMemory(String turnId) {
-    KeptTurn turn = cache.get(turnId);
+    StoredTurn turn = cache.get(turnId);
     return turn != null && turn.ancestors().stream().allMatch(id -> cache.get(id) != null);
   }
 
   /** What is in memory of a turn and all it continues; each of them is in the store. */
-  public List<KeptTurn> turnsInMemory(String turnId) {
-    KeptTurn last = cache.get(turnId);
+  public List<StoredTurn> turnsInMemory(String turnId) {
+    StoredTurn last = cache.get(turnId);
     if (last == null) {
       return List.of();
     }
@@ -124,12 +124,12 @@
    * @param giveUpNanos when to stop trying
    * @param answer true once the store has it; false if that is not certain
    */
-  public void keep(KeptTurn turn, long giveUpNanos, Consumer<Boolean> answer) {
+  public void save(StoredTurn turn, long giveUpNanos, Consumer<Boolean> answer) {
     store.transact(insertion(turn), outcome -> onKept(turn, giveUpNanos, outcome, answer));
   }
 
-  private Transaction insertion(KeptTurn turn) {
-    List<byte[]> values = KeptTurnCodec.encode(turn, MAX_VALUE_BYTES);
+  private Transaction insertion(StoredTurn turn) {
+    List<byte[]> values = StoredTurnCodec.encode(turn, MAX_VALUE_BYTES);
     List<Transaction.Put> puts = new ArrayList<>(values.size());
     for (int i = 0; i < values.size(); i++) {
       puts.add(new Transaction.Put(address(turn.id(), i), values.get(i)));
@@ -140,7 +140,7 @@
   }
 
   private void onKept(
-      KeptTurn turn, long giveUpNanos, TransactionOutcome outcome, Consumer<Boolean> answer) {
+      StoredTurn turn, long giveUpNanos, TransactionOutcome outcome, Consumer<Boolean> answer) {
     // A conflict means that an earlier copy of this very write was done: identifiers are unique.
     if (outcome instanceof TransactionOutcome.Applied
         || outcome instanceof TransactionOutcome.Conflict) {
@@ -149,7 +149,7 @@
     } else if (eventLoop.nanoTime() - giveUpNanos >= 0) {
       answer.accept(false);
     } else {
-      eventLoop.schedule(RETRY_MILLIS, () -> keep(turn, giveUpNanos, answer));
+      eventLoop.schedule(RETRY_MILLIS, () -> save(turn, giveUpNanos, answer));
     }
   }
 
@@ -172,8 +172,8 @@
   }
 
   private void fetchAll(
-      KeptTurn last, List<String> missing, long giveUpNanos, Consumer<Lookup> answer) {
-    Map<String, KeptTurn> fetched = new HashMap<>();
+      StoredTurn last, List<String> missing, long giveUpNanos, Consumer<Lookup> answer) {
+    Map<String, StoredTurn> fetched = new HashMap<>();
     int[] outstanding = {missing.size()};
     for (String ancestor : missing) {
       fetch(
@@ -191,10 +191,10 @@
     }
   }
 
-  private Lookup chainOf(KeptTurn last, Map<String, KeptTurn> fetched) {
-    List<KeptTurn> chain = new ArrayList<>();
+  private Lookup chainOf(StoredTurn last, Map<String, StoredTurn> fetched) {
+    List<StoredTurn> chain = new ArrayList<>();
     for (String ancestor : last.ancestors()) {
-      KeptTurn turn = fetched.containsKey(ancestor) ? fetched.get(ancestor) : cache.get(ancestor);
+      StoredTurn turn = fetched.containsKey(ancestor) ? fetched.get(ancestor) : cache.get(ancestor);
       if (turn == null) {
         return new Lookup.Unavailable();
       }
@@ -205,10 +205,10 @@
   }
 
   /** A turn, or why there is none. */
-  private record Fetched(KeptTurn turn, boolean absent) {}
+  private record Fetched(StoredTurn turn, boolean absent) {}
 
   private void fetch(String id, long giveUpNanos, Consumer<Fetched> answer) {
-    KeptTurn cached = cache.get(id);
+    StoredTurn cached = cache.get(id);
     if (cached != null) {
       answer.accept(new Fetched(cached, false));
       return;
@@ -227,7 +227,7 @@
       confirmAbsent(id, giveUpNanos, answer);
       return;
     }
-    int pieces = KeptTurnCodec.pieces(rows.rows().get(0).value());
+    int pieces = StoredTurnCodec.pieces(rows.rows().get(0).value());
     if (pieces == 1) {
       answer.accept(new Fetched(remember(id, rows.rows()), false));
       return;
@@ -268,8 +268,8 @@
     }
   }
 
-  private KeptTurn remember(String id, List<StoredRow> rows) {
-    KeptTurn turn = KeptTurnCodec.decode(id, rows.stream().map(StoredRow::value).toList());
+  private StoredTurn remember(String id, List<StoredRow> rows) {
+    StoredTurn turn = StoredTurnCodec.decode(id, rows.stream().map(StoredRow::value).toList());
     cache.put(turn);
     return turn;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/history/TurnSource.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/history/TurnSource.java
@@ -17,5 +17,5 @@
    * @param program the program that continues it
    * @param answer takes what there is, exactly once; possibly nothing
    */
-  void request(ProgramId program, String turnId, Consumer<List<KeptTurn>> answer);
+  void request(ProgramId program, String turnId, Consumer<List<StoredTurn>> answer);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkClient.java
@@ -16,7 +16,7 @@
 import java.util.function.LongFunction;
 import org.baykeel.gateway.budget.GrantTransfer;
 import org.baykeel.gateway.handover.HandoverTransport;
-import org.baykeel.gateway.history.KeptTurn;
+import org.baykeel.gateway.history.StoredTurn;
 import org.baykeel.gateway.http.KeptConnections;
 import org.baykeel.gateway.peer.PeerAddress;
 import org.baykeel.gateway.peer.PeerDistance;
@@ -85,7 +85,7 @@
   }
 
   @Override
-  public void requestTurns(PeerAddress peer, String turnId, Consumer<List<KeptTurn>> answer) {
+  public void requestTurns(PeerAddress peer, String turnId, Consumer<List<StoredTurn>> answer) {
     link(peer)
         .ask(
             id -> new LinkMessage.TurnsRequest(id, turnId),
@@ -127,7 +127,7 @@
           : Optional.empty();
     }
 
-    List<KeptTurn> turns() {
+    List<StoredTurn> turns() {
       return answer instanceof LinkMessage.TurnsAnswer turnsAnswer
           ? turnsAnswer.turns()
           : List.of();
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkCodec.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkCodec.java
@@ -9,8 +9,8 @@
 import org.agrona.MutableDirectBuffer;
 import org.agrona.concurrent.UnsafeBuffer;
 import org.baykeel.gateway.budget.GrantTransfer;
-import org.baykeel.gateway.history.KeptTurn;
-import org.baykeel.gateway.history.KeptTurnCodec;
+import org.baykeel.gateway.history.StoredTurn;
+import org.baykeel.gateway.history.StoredTurnCodec;
 import org.baykeel.gateway.program.ProgramId;
 import org.baykeel.gateway.remote.StoreCall;
 import org.baykeel.gateway.remote.StoreReply;
@@ -157,8 +157,8 @@
             .wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder())
             .correlationId(answer.correlationId());
     TurnsAnswerEncoder.TurnsEncoder turns = encoder.turnsCount(answer.turns().size());
-    for (KeptTurn turn : answer.turns()) {
-      byte[] content = KeptTurnCodec.encodeWhole(turn);
+    for (StoredTurn turn : answer.turns()) {
+      byte[] content = StoredTurnCodec.encodeWhole(turn);
       turns.next().turnId(turn.id()).putContent(content, 0, content.length);
     }
     return encoder.encodedLength();
@@ -260,12 +260,12 @@
   private static LinkMessage decodeTurnsAnswer(DirectBuffer buffer, MessageHeaderDecoder header) {
     TurnsAnswerDecoder decoder = new TurnsAnswerDecoder().wrapAndApplyHeader(buffer, 0, header);
     long correlationId = decoder.correlationId();
-    List<KeptTurn> turns = new ArrayList<>();
+    List<StoredTurn> turns = new ArrayList<>();
     for (TurnsAnswerDecoder.TurnsDecoder turn : decoder.turns()) {
       String turnId = turn.turnId();
       byte[] content = new byte[bounded(turn.contentLength(), buffer)];
       turn.getContent(content, 0, content.length);
-      turns.add(KeptTurnCodec.decodeWhole(turnId, content));
+      turns.add(StoredTurnCodec.decodeWhole(turnId, content));
     }
     return new LinkMessage.TurnsAnswer(correlationId, turns);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkMessage.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkMessage.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.baykeel.gateway.budget.GrantTransfer;
-import org.baykeel.gateway.history.KeptTurn;
+import org.baykeel.gateway.history.StoredTurn;
 import org.baykeel.gateway.program.ProgramId;
 import org.baykeel.gateway.remote.StoreCall;
 import org.baykeel.gateway.remote.StoreReply;
@@ -54,7 +54,7 @@
    *
    * @param turns in any order
    */
-  record TurnsAnswer(long correlationId, List<KeptTurn> turns) implements LinkMessage {
+  record TurnsAnswer(long correlationId, List<StoredTurn> turns) implements LinkMessage {
     public TurnsAnswer {
       turns = List.copyOf(turns);
     }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkServices.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkServices.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.baykeel.gateway.budget.GrantTransfer;
-import org.baykeel.gateway.history.KeptTurn;
+import org.baykeel.gateway.history.StoredTurn;
 import org.baykeel.gateway.program.ProgramId;
 import org.baykeel.gateway.remote.StoreCall;
 import org.baykeel.gateway.remote.StoreReply;
@@ -23,5 +23,5 @@
   Optional<GrantTransfer> releaseGrant(ProgramId program);
 
   /** What this node has in memory of a turn and all it continues. */
-  List<KeptTurn> turnsInMemory(String turnId);
+  List<StoredTurn> turnsInMemory(String turnId);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LocalLinkServices.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LocalLinkServices.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import org.baykeel.gateway.budget.GrantTransfer;
 import org.baykeel.gateway.budget.ProgramBudgets;
-import org.baykeel.gateway.history.KeptTurn;
+import org.baykeel.gateway.history.StoredTurn;
 import org.baykeel.gateway.history.TurnHistory;
 import org.baykeel.gateway.program.ProgramId;
 import org.baykeel.gateway.remote.FailoverStoreCaller;
@@ -36,7 +36,7 @@
   }
 
   @Override
-  public List<KeptTurn> turnsInMemory(String turnId) {
+  public List<StoredTurn> turnsInMemory(String turnId) {
     return history.turnsInMemory(turnId);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessageCodec.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessageCodec.java
@@ -199,7 +199,7 @@
                         decoder.openingsAllowed() != 0,
                         decoder.retryMillis(),
                         decoder.left(),
-                        LimitUse.told(decoder.limitUse()),
+                        LimitUse.ofPeer(decoder.limitUse()),
                         proof(decoder)));
       }
       default -> Optional.empty();
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/LimitedRequest.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/LimitedRequest.java
@@ -12,7 +12,7 @@
  * @param kind its place in its program, as far as this node knows
  * @param program its program; nothing if it belongs to none
  */
-public record LimitedRequest(Tenant tenant, RequestClass kind, Optional<ProgramId> program) {
+public record LimitedRequest(Tenant tenant, RequestKind kind, Optional<ProgramId> program) {
   /** Stands for a request without a program. */
   static final int NO_PROGRAM = 0;
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionBuckets.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionBuckets.java
@@ -74,15 +74,15 @@
    * @param wanted how many tokens are wanted; one is enough
    */
   TokenDecision decide(
-      Tenant tenant, RequestClass asked, int programHash, int wanted, long nowNanos) {
-    RequestClass kind = heardNanos.get(programHash) != null ? RequestClass.CONTINUING : asked;
+      Tenant tenant, RequestKind asked, int programHash, int wanted, long nowNanos) {
+    RequestKind kind = heardNanos.get(programHash) != null ? RequestKind.CONTINUING : asked;
     Account account = accounts.computeIfAbsent(tenant.id(), id -> newAccount(tenant, nowNanos));
     account.advance(tenant.limit(), nowNanos);
     TokenBucket bucket = account.bucket();
     LimitUse use = bucket.use();
     double openingReserve = openingReserve(account, tenant.limit());
-    double reserve = kind == RequestClass.OPENING ? openingReserve : 0;
-    if (bucket.tokens() < 1 && kind == RequestClass.CONTINUING) {
+    double reserve = kind == RequestKind.FIRST_TURN ? openingReserve : 0;
+    if (bucket.tokens() < 1 && kind == RequestKind.CONTINUING) {
       long delayMillis = bucket.lend();
       if (delayMillis >= 0) {
         given(account, programHash, 1, nowNanos);
@@ -104,14 +104,14 @@
   /** Tokens that a program must leave when it begins; with a full bucket it always may. */
   private static double openingReserve(Account account, RateLimit limit) {
     TokenBucket bucket = account.bucket();
-    double kept = bucket.overdrawn() ? RequestClass.OPENING.reserve(bucket.capacity()) : 0;
+    double kept = bucket.overdrawn() ? RequestKind.FIRST_TURN.reserve(bucket.capacity()) : 0;
     double needed = account.programs().neededForAnother(limit.requestsPerSecond());
     return Math.min(bucket.capacity() - 1, Math.max(kept, needed));
   }
 
-  private static long retryMillis(RequestClass kind, TokenBucket bucket, double reserve) {
+  private static long retryMillis(RequestKind kind, TokenBucket bucket, double reserve) {
     long untilTokens = Math.max(1, bucket.millisUntil(reserve + 1));
-    if (kind != RequestClass.OPENING) {
+    if (kind != RequestKind.FIRST_TURN) {
       return untilTokens;
     }
     return Math.max(OPENING_RETRY_MILLIS, Math.min(LONGEST_OPENING_RETRY_MILLIS, untilTokens));
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RequestClass.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RequestKind.java
@@ -1,15 +1,15 @@
 package org.baykeel.gateway.ratelimit;
 
 /** Which requests of a tenant go first when it asks for more than its limit. */
-public enum RequestClass {
+public enum RequestKind {
   /**
    * The first request of a program. Only whole programs are worth anything, so a program that
    * cannot be finished within the limit is better not begun.
    */
-  OPENING {
+  FIRST_TURN {
     @Override
     double reserve(double capacity) {
-      return Math.min(capacity * RequestClass.PART_KEPT, capacity - 1);
+      return Math.min(capacity * RequestKind.PART_KEPT, capacity - 1);
     }
   },
   /** A request of a program that has begun. */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RequestLimiter.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RequestLimiter.java
@@ -27,9 +27,9 @@
      * The tenant is beyond its limit.
      *
      * @param retryMillis when the request may be tried again with some hope
-     * @param left requests that might still run, kept for others
+     * @param remaining requests that might still run, kept for others
      */
-    record Exceeded(long retryMillis, double left) implements Decision {}
+    record Exceeded(long retryMillis, double remaining) implements Decision {}
 
     /** Nobody could be asked in time. */
     record Undecided() implements Decision {}
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/SharedRequestLimiter.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/SharedRequestLimiter.java
@@ -158,7 +158,7 @@
   }
 
   /** The store answers again after a time without. */
-  public void storeIsBack() {
+  public void onStoreReachable() {
     leases.renewAll();
   }
 
@@ -190,7 +190,7 @@
 
   /** Decides from this node's own bucket; nothing if it does not hold the partition. */
   private Optional<TokenDecision> decideHere(
-      Tenant tenant, RequestClass kind, int programHash, int wanted) {
+      Tenant tenant, RequestKind kind, int programHash, int wanted) {
     LimitPartition partition = LimitPartition.of(tenant.id());
     return leases
         .tenure(partition)
@@ -241,7 +241,7 @@
       return PeerMessage.LimitTokenReply.notHeld(request.questionId());
     }
     int wanted = Math.max(1, Math.min(MAX_SLICE, request.wanted()));
-    RequestClass kind = request.opening() ? RequestClass.OPENING : RequestClass.CONTINUING;
+    RequestKind kind = request.opening() ? RequestKind.FIRST_TURN : RequestKind.CONTINUING;
     return decideHere(tenant, kind, request.programHash(), wanted)
         .map(decision -> replyOf(request.questionId(), decision))
         .orElseGet(() -> PeerMessage.LimitTokenReply.notHeld(request.questionId()));
@@ -253,9 +253,9 @@
         questionId,
         decision.tokens() > 0 ? LimitTokenOutcome.GIVEN : LimitTokenOutcome.REFUSED,
         decision.tokens(),
-        decision.openingsAllowed(),
+        decision.firstTurnsAllowed(),
         decision.retryMillis(),
-        (float) decision.left(),
+        (float) decision.remaining(),
         decision.use(),
         Optional.empty());
   }
@@ -318,7 +318,7 @@
         firstSentNanos = eventLoop.nanoTime();
       }
       tries++;
-      boolean opening = request.kind() == RequestClass.OPENING;
+      boolean opening = request.kind() == RequestKind.FIRST_TURN;
       transport.send(
           holder,
           codec.encode(
@@ -336,7 +336,7 @@
       if (!sender.equals(asked)) {
         return;
       }
-      reply.proof().ifPresent(proofs::told);
+      reply.proof().ifPresent(proofs::onProof);
       switch (reply.outcome()) {
         case GIVEN -> onTokens(Math.min(wanted, reply.tokens()), reply);
         case REFUSED ->
@@ -367,7 +367,7 @@
       long useNanos = eventLoop.nanoTime() + decision.retryMillis() * 1_000_000;
       if (decision.tokens() > 0 && useNanos - endNanos > 0) {
         metrics.limitCounted(LimitFigure.LOST, decision.tokens());
-        end(new Decision.Exceeded(Math.max(1, decision.retryMillis()), decision.left()));
+        end(new Decision.Exceeded(Math.max(1, decision.retryMillis()), decision.remaining()));
       } else if (decision.tokens() > 0 && decision.retryMillis() > 0) {
         metrics.limitCounted(LimitFigure.WAITED, 1);
         questions.remove(id);
@@ -377,7 +377,7 @@
         end(new Decision.Allowed(decision.use()));
       } else {
         metrics.limitCounted(LimitFigure.REFUSED, 1);
-        end(new Decision.Exceeded(Math.max(1, decision.retryMillis()), decision.left()));
+        end(new Decision.Exceeded(Math.max(1, decision.retryMillis()), decision.remaining()));
       }
     }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/TokenDecision.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/TokenDecision.java
@@ -6,11 +6,11 @@
  * What the holder of a bucket decides.
  *
  * @param tokens tokens given; 0 if none
- * @param openingsAllowed whether programs may begin with them
+ * @param firstTurnsAllowed whether programs may begin with them
  * @param retryMillis when there will be some, if none were given; otherwise when those that were
  *     given may be used
- * @param left what the bucket still holds
+ * @param remaining what the bucket still holds
  * @param use what the tenant asked for lately
  */
 record TokenDecision(
-    int tokens, boolean openingsAllowed, long retryMillis, double left, LimitUse use) {}
+    int tokens, boolean firstTurnsAllowed, long retryMillis, double remaining, LimitUse use) {}
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/TokenSlice.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/TokenSlice.java
@@ -10,11 +10,11 @@
   private LimitUse use = LimitUse.UNKNOWN;
 
   /** Takes one token if there is one for a request of the kind. */
-  boolean take(RequestClass kind, long nowNanos) {
+  boolean take(RequestKind kind, long nowNanos) {
     if (tokens == 0 || nowNanos - expiresNanos >= 0) {
       return false;
     }
-    if (kind == RequestClass.OPENING && !openingsAllowed) {
+    if (kind == RequestKind.FIRST_TURN && !openingsAllowed) {
       return false;
     }
     tokens--;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/ConfigurationFreshness.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/ConfigurationFreshness.java
@@ -18,7 +18,7 @@
   private final EventLoop eventLoop;
   private final List<Waiting> waiting = new ArrayList<>();
   private Runnable comparison = () -> {};
-  private boolean proven;
+  private boolean recordProof;
   private long provenNanos;
 
   /** Somebody who needs the configuration to be proven as of some moment. */
@@ -38,7 +38,7 @@
    *
    * @param comparison begins a comparison; its result is told by {@link #proven}
    */
-  public void checkBy(Runnable comparison) {
+  public void setCheck(Runnable comparison) {
     this.comparison = comparison;
   }
 
@@ -52,11 +52,11 @@
    *
    * @param nanos no newer configuration had been acknowledged before this moment
    */
-  public void proven(long nanos) {
-    if (proven && nanos - provenNanos <= 0) {
+  public void recordProof(long nanos) {
+    if (recordProof && nanos - provenNanos <= 0) {
       return;
     }
-    proven = true;
+    recordProof = true;
     provenNanos = nanos;
     List<Waiting> satisfied = new ArrayList<>();
     for (Iterator<Waiting> each = waiting.iterator(); each.hasNext(); ) {
@@ -77,7 +77,7 @@
 
   /** Nanoseconds since the proven moment; {@link Long#MAX_VALUE} if nothing is proven. */
   public long ageNanos() {
-    return proven ? eventLoop.nanoTime() - provenNanos : Long.MAX_VALUE;
+    return recordProof ? eventLoop.nanoTime() - provenNanos : Long.MAX_VALUE;
   }
 
   /**
@@ -88,11 +88,11 @@
    *     nothing is proven
    */
   public long ageNanosAt(long nanos) {
-    return proven ? nanos - provenNanos : Long.MAX_VALUE;
+    return recordProof ? nanos - provenNanos : Long.MAX_VALUE;
   }
 
   private boolean provenSince(long nanos) {
-    return proven && provenNanos - nanos >= 0;
+    return recordProof && provenNanos - nanos >= 0;
   }
 
   /**
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/KeyAuthenticator.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/KeyAuthenticator.java
@@ -64,19 +64,19 @@
   }
 
   /** What is known of a key. */
-  public sealed interface Verdict {
+  public sealed interface KeyDecision {
     /** It is a tenant's. */
-    record Accepted(Tenant tenant) implements Verdict {}
+    record Accepted(Tenant tenant) implements KeyDecision {}
 
     /** No tenant holds it. */
-    record RuledOut() implements Verdict {}
+    record Rejected() implements KeyDecision {}
 
     /**
      * The configuration may be too old to tell.
      *
      * @param ageMillis how long before the request it was proven last; negative if never
      */
-    record Undecided(long ageMillis) implements Verdict {}
+    record Undecided(long ageMillis) implements KeyDecision {}
   }
 
   /**
@@ -94,7 +94,7 @@
   }
 
   /** Whether keys can be accepted now. */
-  public boolean recentEnough() {
+  public boolean canAcceptKeys() {
     return toMillis(freshness.ageNanos()) <= bounds.acceptMillis();
   }
 
@@ -105,41 +105,41 @@
    * @param receivedNanos when the request arrived
    * @param answer takes the verdict, exactly once, possibly before this returns
    */
-  public void judge(ApiKey key, long receivedNanos, Consumer<Verdict> answer) {
+  public void authenticate(ApiKey key, long receivedNanos, Consumer<KeyDecision> answer) {
     long ageMillis = toMillis(freshness.ageNanosAt(receivedNanos));
     if (ageMillis > bounds.acceptMillis()) {
       answer.accept(undecided(ageMillis));
       return;
     }
     rememberDropped();
-    Verdict known = known(key);
+    KeyDecision known = known(key);
     if (known != null) {
       answer.accept(known);
     } else if (ruledOut.contains(key) && ageMillis <= bounds.ruleOutMillis()) {
-      answer.accept(new Verdict.RuledOut());
+      answer.accept(new KeyDecision.Rejected());
     } else {
       freshness.await(
           receivedNanos, CHECK_MILLIS, proven -> answer.accept(checked(key, proven, ageMillis)));
     }
   }
 
-  private Verdict known(ApiKey key) {
+  private KeyDecision known(ApiKey key) {
     if (key == null) {
-      return new Verdict.RuledOut();
+      return new KeyDecision.Rejected();
     }
-    return directory.get().holderOf(key).map(Verdict.Accepted::new).orElse(null);
+    return directory.get().findByKey(key).map(KeyDecision.Accepted::new).orElse(null);
   }
 
-  private Verdict checked(ApiKey key, boolean proven, long ageMillis) {
+  private KeyDecision checked(ApiKey key, boolean proven, long ageMillis) {
     if (!proven) {
       return undecided(ageMillis);
     }
     rememberDropped();
-    Verdict known = known(key);
+    KeyDecision known = known(key);
     if (known == null) {
       ruleOut(key);
     }
-    return Objects.requireNonNullElseGet(known, Verdict.RuledOut::new);
+    return Objects.requireNonNullElseGet(known, KeyDecision.Rejected::new);
   }
 
   /** Keys that a newer configuration no longer holds need no question to the store. */
@@ -149,7 +149,7 @@
       return;
     }
     for (ApiKey key : lastDirectory.keys()) {
-      if (current.holderOf(key).isEmpty()) {
+      if (current.findByKey(key).isEmpty()) {
         ruleOut(key);
       }
     }
@@ -163,8 +163,8 @@
     ruledOut.add(key);
   }
 
-  private static Verdict undecided(long ageMillis) {
-    return new Verdict.Undecided(ageMillis == Long.MAX_VALUE ? -1 : ageMillis);
+  private static KeyDecision undecided(long ageMillis) {
+    return new KeyDecision.Undecided(ageMillis == Long.MAX_VALUE ? -1 : ageMillis);
   }
 
   private static long toMillis(long nanos) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/LimitUse.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/LimitUse.java
@@ -16,12 +16,12 @@
   }
 
   /** What another node told, which may be anything; unknown if it is no use. */
-  public static LimitUse told(double multiple) {
+  public static LimitUse ofPeer(double multiple) {
     return multiple >= 0 && !Double.isInfinite(multiple) ? new LimitUse(multiple) : UNKNOWN;
   }
 
   /** Whether the tenant asked for no more than its limit. */
-  public boolean within() {
+  public boolean withinLimit() {
     return multiple <= 1;
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/ProofExchange.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/ProofExchange.java
@@ -47,7 +47,7 @@
   }
 
   /** Takes what another node tells in answer to a question of this one. */
-  public void told(ConfigurationProof proof) {
+  public void onProof(ConfigurationProof proof) {
     OptionalLong inForce = version.get();
     if (inForce.isEmpty() || !clock.known() || proof.version() < inForce.getAsLong()) {
       return;
@@ -58,6 +58,6 @@
     }
     long now = eventLoop.nanoTime();
     long nanos = clock.earliestNanos(proof.storeMillis());
-    freshness.proven(nanos - now < 0 ? nanos : now);
+    freshness.recordProof(nanos - now < 0 ? nanos : now);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/TenantDirectory.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/TenantDirectory.java
@@ -69,7 +69,7 @@
   }
 
   /** The tenant that holds a key. */
-  public Optional<Tenant> holderOf(ApiKey key) {
+  public Optional<Tenant> findByKey(ApiKey key) {
     return Optional.ofNullable(byKey.get(key));
   }
 
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/budget/TestProgramBudgets.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/budget/TestProgramBudgets.java
@@ -46,10 +46,10 @@
   void grantsAheadSoThatTheNextTurnsNeedNoCall() {
     Reservation turn = reserve(first, 10_000);
     eventLoop.advance(10);
-    assertEquals(Grant.GRANTED, turn.grant());
+    assertEquals(ReservationStatus.GRANTED, turn.status());
     turn.use(100);
     turn.close();
-    assertEquals(Grant.GRANTED, reserve(first, 10_000).grant());
+    assertEquals(ReservationStatus.GRANTED, reserve(first, 10_000).status());
     assertEquals(1, store.transactions());
   }
 
@@ -64,7 +64,7 @@
     turn.close();
     Reservation next = reserve(taking, 10_000);
     eventLoop.advance(50);
-    assertEquals(Grant.GRANTED, next.grant());
+    assertEquals(ReservationStatus.GRANTED, next.status());
     assertEquals(1, store.transactions());
   }
 
@@ -85,7 +85,7 @@
     assertEquals(budget, grantedInStore());
     Reservation back = reserve(left, budget);
     eventLoop.advance(50);
-    assertEquals(Grant.GRANTED, back.grant());
+    assertEquals(ReservationStatus.GRANTED, back.status());
   }
 
   @Test
@@ -96,7 +96,7 @@
     for (ProgramBudgets budgets : List.of(left, taking, left)) {
       Reservation turn = reserve(budgets, TURN);
       eventLoop.advance(50);
-      assertEquals(Grant.GRANTED, turn.grant());
+      assertEquals(ReservationStatus.GRANTED, turn.status());
       turn.close();
     }
     assertEquals(TURN, grantedInStore());
@@ -121,7 +121,7 @@
             new DoublingStore(store), eventLoop, new GrantIds(3_000), GrantSource.NONE);
     Reservation turn = reserve(doubled, 10_000);
     eventLoop.advance(20);
-    assertEquals(Grant.GRANTED, turn.grant());
+    assertEquals(ReservationStatus.GRANTED, turn.status());
     assertEquals(2, store.transactions());
     assertEquals(10_000 / 3, grantedInStore());
   }
@@ -131,11 +131,11 @@
     for (int i = 0; i < 2; i++) {
       Reservation turn = reserve(first, 900);
       eventLoop.advance(10);
-      assertEquals(Grant.GRANTED, turn.grant(), "turn " + i);
+      assertEquals(ReservationStatus.GRANTED, turn.status(), "turn " + i);
       turn.use(TURN);
       turn.close();
     }
-    assertEquals(Grant.EXHAUSTED, reserve(first, 900).grant());
+    assertEquals(ReservationStatus.EXHAUSTED, reserve(first, 900).status());
   }
 
   @Test
@@ -148,7 +148,8 @@
       turn.close();
       turns.add(turn);
     }
-    long granted = turns.stream().filter(turn -> turn.grant() == Grant.GRANTED).count();
+    long granted =
+        turns.stream().filter(turn -> turn.status() == ReservationStatus.GRANTED).count();
     assertTrue(granted * TURN <= 2_000 + TURN, granted + " turns");
     assertTrue(granted >= 3, granted + " turns");
   }
@@ -160,7 +161,7 @@
     eventLoop.advance(500);
     store.fault(Fault.NONE);
     eventLoop.advance(1_500);
-    assertEquals(Grant.GRANTED, turn.grant());
+    assertEquals(ReservationStatus.GRANTED, turn.status());
     assertEquals(10_000 / 3, grantedInStore(), "the lost grant counts once");
   }
 
@@ -171,7 +172,7 @@
     eventLoop.advance(500);
     store.fault(Fault.NONE);
     eventLoop.advance(10_000);
-    assertEquals(Grant.GRANTED, turn.grant());
+    assertEquals(ReservationStatus.GRANTED, turn.status());
     assertEquals(10_000 / 3, grantedInStore());
   }
 
@@ -180,7 +181,7 @@
     store.fault(Fault.REFUSE);
     Reservation turn = reserve(first, 10_000);
     eventLoop.advance(PATIENCE_MILLIS + 100);
-    assertEquals(Grant.UNAVAILABLE, turn.grant());
+    assertEquals(ReservationStatus.UNAVAILABLE, turn.status());
   }
 
   @Test
@@ -189,7 +190,7 @@
     eventLoop.advance(10);
     turn.close();
     store.fault(Fault.REFUSE);
-    assertEquals(Grant.GRANTED, reserve(first, 10_000).grant());
+    assertEquals(ReservationStatus.GRANTED, reserve(first, 10_000).status());
   }
 
   @ParameterizedTest(name = "budget {0}: {1} turns without a call")
@@ -199,9 +200,9 @@
     eventLoop.advance(10);
     store.fault(Fault.REFUSE);
     for (int i = 1; i < turns; i++) {
-      assertEquals(Grant.GRANTED, reserve(first, budget).grant(), "turn " + i);
+      assertEquals(ReservationStatus.GRANTED, reserve(first, budget).status(), "turn " + i);
     }
-    assertEquals(Grant.PENDING, reserve(first, budget).grant());
+    assertEquals(ReservationStatus.PENDING, reserve(first, budget).status());
   }
 
   /** Each holder that dies takes a part of the budget with it: two leave the program something. */
@@ -216,7 +217,7 @@
     for (int i = 0; i < 20; i++) {
       Reservation turn = reserve(second, 30_000);
       eventLoop.advance(50);
-      assertEquals(Grant.GRANTED, turn.grant(), "turn " + i);
+      assertEquals(ReservationStatus.GRANTED, turn.status(), "turn " + i);
       turn.use(TURN);
       turn.close();
     }
@@ -261,7 +262,7 @@
       turns.add(nodes.get(node).reserve(PROGRAM, budget, TURN, giveUp, () -> {}));
       loop.advance(random.nextInt(1_500));
       for (Reservation turn : List.copyOf(turns)) {
-        if (turn.grant() == Grant.GRANTED) {
+        if (turn.status() == ReservationStatus.GRANTED) {
           int used = random.nextInt(TURN + 1);
           turn.use(used);
           handed[0] += used;
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestAdmission.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestAdmission.java
@@ -26,7 +26,7 @@
 import org.baykeel.gateway.history.TurnHistory;
 import org.baykeel.gateway.history.TurnSource;
 import org.baykeel.gateway.ratelimit.LimitedRequest;
-import org.baykeel.gateway.ratelimit.RequestClass;
+import org.baykeel.gateway.ratelimit.RequestKind;
 import org.baykeel.gateway.ratelimit.RequestLimiter.Decision;
 import org.baykeel.gateway.residency.Residency;
 import org.baykeel.gateway.scheduling.BackendSelector;
@@ -62,7 +62,7 @@
   @BeforeEach
   void configure() {
     storeHealth.answered(eventLoop.nanoTime());
-    freshness.proven(eventLoop.nanoTime());
+    freshness.recordProof(eventLoop.nanoTime());
     offer(1, TestingTenancy.tenants("a", "b"));
   }
 
@@ -186,7 +186,7 @@
   void anUnknownKeyIsRefusedForGoodOnlyByTheNewestConfiguration() {
     eventLoop.advance(1_000);
     assertNull(begin("/tool/", "nobody", null));
-    freshness.proven(eventLoop.nanoTime());
+    freshness.recordProof(eventLoop.nanoTime());
     Refusal refusal = refusal(outcomes.get(0));
     assertEquals(ErrorKind.UNAUTHORIZED, refusal.kind());
     assertTrue(!refusal.detail().contains("nobody"), refusal.detail());
@@ -229,13 +229,13 @@
   @Test
   void aProgramOpensWithItsFirstTurnOnly() {
     begin("/turn/", "key-a", "p");
-    assertEquals(RequestClass.OPENING, limited.get(0).kind());
+    assertEquals(RequestKind.FIRST_TURN, limited.get(0).kind());
     budgets.reserve("a/p", 100, 40, eventLoop.nanoTime() + 1_000_000_000L, () -> {});
     eventLoop.advance(100);
     begin("/turn/", "key-a", "p");
     begin("/tool/", "key-a", "q");
-    assertEquals(RequestClass.CONTINUING, limited.get(1).kind());
-    assertEquals(RequestClass.CONTINUING, limited.get(2).kind());
+    assertEquals(RequestKind.CONTINUING, limited.get(1).kind());
+    assertEquals(RequestKind.CONTINUING, limited.get(2).kind());
     assertEquals(limited.get(0).program(), limited.get(1).program());
   }
 
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestCallAcrossRestart.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestCallAcrossRestart.java
@@ -20,13 +20,13 @@
     BROKEN {
       @Override
       void of(TestingTransport.Sent sent) {
-        sent.breakOff();
+        sent.breakConnection();
       }
     },
     WITHIN_ITS_ANSWER {
       @Override
       void of(TestingTransport.Sent sent) {
-        sent.head(200, true, false, false).bytes("x").breakOff();
+        sent.head(200, true, false, false).bytes("x").breakConnection();
       }
     },
     WHOLE {
@@ -49,7 +49,7 @@
     end.of(node.transport().last());
     node.eventLoop().advance(4_000);
     assertEquals(1, node.transport().count());
-    assertEquals(1, responder.heard().size());
+    assertEquals(1, responder.received().size());
     assertTrue(former.removed());
     assertEquals(0, former.inFlight());
     assertEquals(0, present.inFlight());
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestCallOfSlowCaller.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestCallOfSlowCaller.java
@@ -39,7 +39,7 @@
     node.eventLoop().advance(599);
     assertEquals(1, node.transport().count());
     sent.event(2).complete();
-    assertEquals(List.of("begin", "id: 1 data: d1", "id: 2 data: d2", "end"), responder.heard());
+    assertEquals(List.of("begin", "id: 1 data: d1", "id: 2 data: d2", "end"), responder.received());
   }
 
   @Test
@@ -74,14 +74,14 @@
       events++;
       sent.event(events);
     }
-    assertEquals(List.of(), responder.heard());
+    assertEquals(List.of(), responder.received());
     assertTrue(held.total() >= CALL_BYTES, "held " + held.total());
     node.store().fault(Fault.NONE);
     for (int millis = 0; sent.paused() && millis < 1_000; millis += 10) {
       node.eventLoop().advance(10);
     }
     assertFalse(sent.paused());
-    assertEquals(1 + events, responder.heard().size());
+    assertEquals(1 + events, responder.received().size());
     assertEquals(0, held.total());
   }
 
@@ -102,7 +102,7 @@
     sent.complete();
     node.eventLoop().advance(60_000);
     held.sweep();
-    assertEquals("end", responder.heard().get(responder.heard().size() - 1));
+    assertEquals("end", responder.received().get(responder.received().size() - 1));
     assertEquals(CALL_BYTES - 1, held.total());
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestClientCall.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestClientCall.java
@@ -175,14 +175,14 @@
   void passesOnAWholeAnswer() {
     call("/safe/");
     transport.last().head(200, true, false, false).bytes("body").complete();
-    assertEquals(List.of("answer 200 body"), responder.heard());
+    assertEquals(List.of("answer 200 body"), responder.received());
   }
 
   @Test
   void passesOnEventsAndTheEnd() {
     call("/once/");
     transport.last().stream().event(1).event(2).complete();
-    assertEquals(List.of("begin", "id: 1 data: d1", "id: 2 data: d2", "end"), responder.heard());
+    assertEquals(List.of("begin", "id: 1 data: d1", "id: 2 data: d2", "end"), responder.received());
   }
 
   @Test
@@ -214,18 +214,18 @@
   void anUnsafeRequestIsSentAgainOnlyAfterItProvablyDidNotRun() {
     call("/unsafe/");
     transport.last().notExecuted();
-    transport.last().neverSent();
+    transport.last().failUnsent();
     assertEquals(3, transport.count());
-    transport.last().breakOff();
+    transport.last().breakConnection();
     assertEquals(3, transport.count());
-    assertEquals(List.of("refuse OUTCOME_UNKNOWN"), responder.heard());
+    assertEquals(List.of("refuse OUTCOME_UNKNOWN"), responder.received());
   }
 
   @Test
   void aRequestWaitsForRoomWhileItsWorkFitsInItsTimeAndIsThenToldWhenToComeBack() {
     call("/unsafe/");
     long waited = 0;
-    while (responder.heard().isEmpty() && waited < TIMEOUT_MILLIS) {
+    while (responder.received().isEmpty() && waited < TIMEOUT_MILLIS) {
       transport.last().notExecuted();
       eventLoop.advance(5);
       waited += 5;
@@ -249,12 +249,12 @@
             "r", 3_000, finishMillis, "p", "p", -1, 500, List.of(), null, -1, null, null);
     call(path, attributes);
     long waited = 0;
-    while (responder.heard().isEmpty() && waited < TIMEOUT_MILLIS) {
+    while (responder.received().isEmpty() && waited < TIMEOUT_MILLIS) {
       transport.last().notExecuted();
       eventLoop.advance(5);
       waited += 5;
     }
-    assertEquals(List.of("refuse NO_BACKEND"), responder.heard());
+    assertEquals(List.of("refuse NO_BACKEND"), responder.received());
     assertTrue(waited >= least && waited < below, waited + " ms");
   }
 
@@ -265,10 +265,10 @@
     }
     call("/unsafe/");
     for (int i = 0; i < 6; i++) {
-      transport.last().neverSent();
+      transport.last().failUnsent();
     }
     assertEquals(6, transport.count());
-    assertEquals(List.of("refuse NO_BACKEND"), responder.heard());
+    assertEquals(List.of("refuse NO_BACKEND"), responder.received());
   }
 
   @Test
@@ -291,47 +291,47 @@
       transport.last().notExecuted();
       eventLoop.advance(5);
     }
-    assertEquals(List.of(), responder.heard());
+    assertEquals(List.of(), responder.received());
     eventLoop.advance(100);
     transport.last().head(200, true, false, false).bytes("body").complete();
-    assertEquals(List.of("answer 200 body"), responder.heard());
+    assertEquals(List.of("answer 200 body"), responder.received());
   }
 
   @Test
   void aSafeRequestRunsAgainElsewhereWithinItsAttempts() {
     call("/safe/");
-    transport.last().breakOff();
+    transport.last().breakConnection();
     assertNotEquals(transport.sent(0).engineId(), transport.sent(1).engineId());
-    transport.last().breakOff();
+    transport.last().breakConnection();
     assertEquals(2, transport.count());
-    assertEquals(List.of("refuse BACKEND_FAILED"), responder.heard());
+    assertEquals(List.of("refuse BACKEND_FAILED"), responder.received());
   }
 
   @Test
   void aSilentEngineIsGivenUpForASafeRequest() {
     call("/safe/");
     long silenceMillis =
-        route("/safe/", RouteKind.SAFE, 2, false, false).longestSilenceMillis(false);
+        route("/safe/", RouteKind.SAFE, 2, false, false).silenceTimeoutMillis(false);
     eventLoop.advance(silenceMillis - 1);
     assertFalse(transport.sent(0).cancelled());
     eventLoop.advance(1);
     assertTrue(transport.sent(0).cancelled());
     transport.last().head(200, true, false, false).bytes("b").complete();
-    assertEquals(List.of("answer 200 b"), responder.heard());
+    assertEquals(List.of("answer 200 b"), responder.received());
   }
 
   @Test
   void aSuccessWithoutSignatureIsNotPassedOn() {
     call("/unsafe/");
     transport.last().head(200, false, false, false);
-    assertEquals(List.of("refuse OUTCOME_UNKNOWN"), responder.heard());
+    assertEquals(List.of("refuse OUTCOME_UNKNOWN"), responder.received());
   }
 
   @Test
   void anEnginesFailureIsPassedOnUnchanged() {
     call("/unsafe/");
     transport.last().head(500, true, false, false).bytes("oops").complete();
-    assertEquals(List.of("answer 500 oops"), responder.heard());
+    assertEquals(List.of("answer 500 oops"), responder.received());
   }
 
   @Test
@@ -339,28 +339,28 @@
     call("/resumable/");
     Sent first = transport.last();
     first.stream().event(1).event(2).bytes("id: 3\nda");
-    first.breakOff();
+    first.breakConnection();
     Sent second = transport.last();
     assertEquals(2, second.request().lastEventId());
     second.stream().event(2).event(3).complete();
     assertEquals(
         List.of("begin", "id: 1 data: d1", "id: 2 data: d2", "id: 3 data: d3", "end"),
-        responder.heard());
+        responder.received());
   }
 
   @Test
   void aStreamThatEndsWithinAnEventIsNotComplete() {
     call("/once/");
     transport.last().stream().event(1).bytes("id: 2\ndata").complete();
-    assertEquals(List.of("begin", "id: 1 data: d1", "abort"), responder.heard());
+    assertEquals(List.of("begin", "id: 1 data: d1", "abort"), responder.received());
   }
 
   @Test
   void aStreamThatMayNotBeRepeatedIsCut() {
     call("/once/");
     transport.last().stream().event(1);
-    transport.last().breakOff();
-    assertEquals(List.of("begin", "id: 1 data: d1", "abort"), responder.heard());
+    transport.last().breakConnection();
+    assertEquals(List.of("begin", "id: 1 data: d1", "abort"), responder.received());
     assertEquals(1, transport.count());
   }
 
@@ -371,7 +371,7 @@
     assertTrue(transport.last().cancelled());
     eventLoop.advance(5_000);
     assertEquals(1, transport.count());
-    assertEquals(List.of(), responder.heard());
+    assertEquals(List.of(), responder.received());
   }
 
   @Test
@@ -388,7 +388,7 @@
   void theFinalAnswerComesAtTheDeadline() {
     call("/unsafe/");
     eventLoop.advance(TIMEOUT_MILLIS + 10);
-    assertEquals(List.of("refuse DEADLINE_PASSED"), responder.heard());
+    assertEquals(List.of("refuse DEADLINE_PASSED"), responder.received());
     assertTrue(transport.last().cancelled());
   }
 
@@ -396,11 +396,11 @@
   void noEventIsHandedOutBeforeItsGrant() {
     call("/once/", "r", null, "p", 10_000);
     transport.last().stream().event(1);
-    assertEquals(List.of(), responder.heard());
+    assertEquals(List.of(), responder.received());
     eventLoop.advance(10);
-    assertEquals(List.of("begin", "id: 1 data: d1"), responder.heard());
+    assertEquals(List.of("begin", "id: 1 data: d1"), responder.received());
     transport.last().event(2).complete();
-    assertEquals("end", responder.heard().get(3));
+    assertEquals("end", responder.received().get(3));
   }
 
   @Test
@@ -408,7 +408,7 @@
     call("/once/", "r", null, "p", 10_000);
     transport.last().stream().event(1).complete();
     eventLoop.advance(10);
-    assertEquals(List.of("begin", "id: 1 data: d1", "end"), responder.heard());
+    assertEquals(List.of("begin", "id: 1 data: d1", "end"), responder.received());
   }
 
   @Test
@@ -434,7 +434,7 @@
     call("/once/", "r", null, "p", 400);
     transport.last().stream().event(1);
     eventLoop.advance(50);
-    assertEquals(List.of("refuse BACKEND_FAILED"), responder.heard());
+    assertEquals(List.of("refuse BACKEND_FAILED"), responder.received());
     assertTrue(transport.last().cancelled());
   }
 
@@ -446,10 +446,10 @@
     call("/once/", "r", null, "p", 10_000);
     transport.last().stream().event(1).complete();
     eventLoop.advance(1_000);
-    assertEquals(List.of(), responder.heard());
+    assertEquals(List.of(), responder.received());
     store.fault(Fault.NONE);
     eventLoop.advance(100);
-    assertEquals(List.of("begin", "id: 1 data: d1", "end"), responder.heard());
+    assertEquals(List.of("begin", "id: 1 data: d1", "end"), responder.received());
   }
 
   @Test
@@ -458,7 +458,7 @@
     call("/once/", "r", null, "p", 10_000);
     transport.last().stream().event(1).complete();
     eventLoop.advance(TIMEOUT_MILLIS + 100);
-    assertEquals(1, responder.heard().size());
+    assertEquals(1, responder.received().size());
     assertTrue(responder.refusal().kind().httpStatus() >= 502);
     assertNotEquals(503, responder.refusal().kind().httpStatus());
   }
@@ -539,7 +539,7 @@
     congest();
     call("/once/", "r", null, "p", 10_000).callerDisconnected();
     eventLoop.advance(20);
-    assertEquals(List.of(), responder.heard());
+    assertEquals(List.of(), responder.received());
     assertEquals(0, transport.count());
   }
 
@@ -602,9 +602,9 @@
   void aKeptTurnEndsOnlyAfterTheStoreHasIt() {
     call("/kept/", "t1", null, null, -1);
     transport.last().stream().event(1).complete();
-    assertFalse(responder.heard().contains("end"));
+    assertFalse(responder.received().contains("end"));
     eventLoop.advance(10);
-    assertTrue(responder.heard().contains("end"));
+    assertTrue(responder.received().contains("end"));
   }
 
   @Test
@@ -613,7 +613,7 @@
     store.fault(Fault.REFUSE);
     transport.last().stream().event(1).complete();
     eventLoop.advance(4_000);
-    assertEquals(List.of("begin", "id: 1 data: d1", "abort"), responder.heard());
+    assertEquals(List.of("begin", "id: 1 data: d1", "abort"), responder.received());
   }
 
   @Test
@@ -656,7 +656,7 @@
       eventLoop.advance(20);
     }
     underWay.event(2).complete();
-    assertTrue(responder.heard().contains("end"), responder.heard().toString());
+    assertTrue(responder.received().contains("end"), responder.received().toString());
   }
 
   private static EngineRecord drained(EngineRecord record) {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/handover/TestHolderDirectory.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/handover/TestHolderDirectory.java
@@ -79,9 +79,9 @@
     startAll();
     for (int i = 0; i < PROGRAMS; i++) {
       ProgramId program = new ProgramId("p" + i);
-      nodes.get(i % NODES).announce(program);
+      nodes.get(i % NODES).announceHolder(program);
       eventLoop.advance(10);
-      nodes.get((i + 1) % NODES).announce(program);
+      nodes.get((i + 1) % NODES).announceHolder(program);
       eventLoop.advance(10);
       PeerAddress holder = addresses.get((i + 1) % NODES);
       for (int node = 0; node < NODES; node++) {
@@ -107,7 +107,7 @@
     }
     for (int i = 0; i < PROGRAMS; i++) {
       ProgramId program = new ProgramId("p" + i);
-      nodes.get(0).announce(program);
+      nodes.get(0).announceHolder(program);
       eventLoop.advance(10);
       assertEquals(Optional.of(addresses.get(0)), locate(2, program));
       assertEquals(Optional.of(addresses.get(0)), locate(4, program));
@@ -144,7 +144,7 @@
   void anIdentifierThatDoesNotFitADatagramIsLeftOut(int length) {
     startAll();
     ProgramId program = new ProgramId("x".repeat(length));
-    nodes.get(1).announce(program);
+    nodes.get(1).announceHolder(program);
     assertEquals(Optional.empty(), locate(0, program));
   }
 
@@ -182,7 +182,7 @@
     startAll();
     PeerAddress gone = new PeerAddress("10.0.9.9", 7_000);
     ProgramId program = new ProgramId("p");
-    nodes.get(1).announce(program);
+    nodes.get(1).announceHolder(program);
     eventLoop.advance(10);
     byte[] datagram = new PeerMessageCodec().encode(stray.message(program, gone));
     for (int copies = 0; copies < 2; copies++) {
@@ -192,7 +192,7 @@
     Optional<PeerAddress> nobody = Optional.empty();
     Optional<PeerAddress> sender = Optional.of(gone);
     assertTrue(Set.of(Optional.of(addresses.get(1)), sender, nobody).contains(locate(0, program)));
-    nodes.get(2).announce(program);
+    nodes.get(2).announceHolder(program);
     eventLoop.advance(10);
     assertTrue(Set.of(Optional.of(addresses.get(2)), nobody).contains(locate(0, program)));
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/history/TestKeptTurnCodec.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/history/TestKeptTurnCodec.java
@@ -14,7 +14,7 @@
   private static final List<byte[]> VALUES =
       List.of(RECORDED.named("turn-0"), RECORDED.named("turn-1"));
 
-  private static void assertIsTheTurn(KeptTurn turn) {
+  private static void assertIsTheTurn(StoredTurn turn) {
     assertEquals(List.of("t1", "t2", "t3"), turn.chain());
     assertArrayEquals(new byte[] {1, 2, 3}, turn.input());
     assertArrayEquals(new byte[] {4, 5, 6, 7}, turn.output());
@@ -22,10 +22,10 @@
 
   @Test
   void theRowsOfProductionAreReadAndWritten() {
-    assertEquals(VALUES.size(), KeptTurnCodec.pieces(VALUES.get(0)));
-    KeptTurn turn = KeptTurnCodec.decode("t3", VALUES);
+    assertEquals(VALUES.size(), StoredTurnCodec.pieces(VALUES.get(0)));
+    StoredTurn turn = StoredTurnCodec.decode("t3", VALUES);
     assertIsTheTurn(turn);
-    List<byte[]> written = KeptTurnCodec.encode(turn, VALUE_BYTES);
+    List<byte[]> written = StoredTurnCodec.encode(turn, VALUE_BYTES);
     assertEquals(VALUES.size(), written.size());
     for (int i = 0; i < VALUES.size(); i++) {
       assertArrayEquals(VALUES.get(i), written.get(i));
@@ -36,6 +36,6 @@
   void whatALaterBuildAddsIsPassedOver() {
     byte[] last = VALUES.get(1);
     byte[] longer = Arrays.copyOf(last, last.length + 3);
-    assertIsTheTurn(KeptTurnCodec.decode("t3", List.of(VALUES.get(0), longer)));
+    assertIsTheTurn(StoredTurnCodec.decode("t3", List.of(VALUES.get(0), longer)));
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/history/TestTurnHistory.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/history/TestTurnHistory.java
@@ -25,16 +25,16 @@
   private final TurnHistory history =
       new TurnHistory(store, eventLoop, CACHE_BYTES, TurnSource.NONE);
 
-  private static KeptTurn turn(String id, List<String> ancestors, int inputBytes) {
+  private static StoredTurn turn(String id, List<String> ancestors, int inputBytes) {
     byte[] output = ("out " + id + "\n").getBytes(StandardCharsets.UTF_8);
     byte[] input = new byte[inputBytes];
     java.util.Arrays.fill(input, (byte) id.charAt(0));
-    return new KeptTurn(id, ancestors, input, output);
+    return new StoredTurn(id, ancestors, input, output);
   }
 
-  private Boolean keep(TurnHistory keeper, KeptTurn turn, long advanceMillis) {
+  private Boolean keep(TurnHistory keeper, StoredTurn turn, long advanceMillis) {
     AtomicReference<Boolean> kept = new AtomicReference<>();
-    keeper.keep(turn, eventLoop.nanoTime() + 1_500_000_000L, kept::set);
+    keeper.save(turn, eventLoop.nanoTime() + 1_500_000_000L, kept::set);
     eventLoop.advance(advanceMillis);
     return kept.get();
   }
@@ -53,13 +53,13 @@
     keep(history, turn("c", List.of("a", "b"), 30), 10);
     TurnHistory other = new TurnHistory(store, eventLoop, CACHE_BYTES, TurnSource.NONE);
     Lookup.Found found = assertInstanceOf(Lookup.Found.class, find(other, "c"));
-    assertEquals(List.of("a", "b", "c"), found.chain().stream().map(KeptTurn::id).toList());
+    assertEquals(List.of("a", "b", "c"), found.chain().stream().map(StoredTurn::id).toList());
     assertTrue(other.inMemory("c"));
   }
 
   @Test
   void aTurnLargerThanARowComesBackWhole() {
-    KeptTurn large = turn("x", List.of(), 150_000);
+    StoredTurn large = turn("x", List.of(), 150_000);
     assertEquals(true, keep(history, large, 10));
     TurnHistory other = new TurnHistory(store, eventLoop, CACHE_BYTES, TurnSource.NONE);
     Lookup.Found found = assertInstanceOf(Lookup.Found.class, find(other, "x"));
@@ -96,7 +96,7 @@
     assertNull(keep(history, turn("a", List.of(), 10), 1_000), "still trying");
     eventLoop.advance(2_000);
     AtomicReference<Boolean> kept = new AtomicReference<>();
-    history.keep(turn("b", List.of(), 10), eventLoop.nanoTime(), kept::set);
+    history.save(turn("b", List.of(), 10), eventLoop.nanoTime(), kept::set);
     eventLoop.advance(100);
     assertEquals(false, kept.get());
   }
@@ -105,7 +105,7 @@
   void aLostAnswerIsSettledByTheNextTry() {
     store.fault(Fault.LOSE_ANSWER);
     AtomicReference<Boolean> kept = new AtomicReference<>();
-    history.keep(turn("a", List.of(), 10), eventLoop.nanoTime() + 3_000_000_000L, kept::set);
+    history.save(turn("a", List.of(), 10), eventLoop.nanoTime() + 3_000_000_000L, kept::set);
     eventLoop.advance(500);
     store.fault(Fault.NONE);
     eventLoop.advance(1_000);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestEngineConnection.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestEngineConnection.java
@@ -21,7 +21,7 @@
 import org.baykeel.gateway.tenancy.Caller;
 import org.baykeel.gateway.testing.ScriptedEngine;
 import org.baykeel.gateway.testing.ScriptedEngine.After;
-import org.baykeel.gateway.testing.ScriptedEngine.Answer;
+import org.baykeel.gateway.testing.ScriptedEngine.Response;
 import org.baykeel.gateway.testing.TestingTranslator;
 import org.baykeel.gateway.topology.RoundTrips;
 import org.baykeel.gateway.topology.Topology;
@@ -122,7 +122,7 @@
   void anAnswerIsWholeOrBroken(String name, String bytes, After after, String outcome)
       throws Exception {
     String wire = bytes.replace("|", "\r\n");
-    try (ScriptedEngine engine = new ScriptedEngine(new Answer(wire, after))) {
+    try (ScriptedEngine engine = new ScriptedEngine(new Response(wire, after))) {
       assertEquals(outcome, ask(engineAt(engine.port()), "r1"));
     }
   }
@@ -130,7 +130,7 @@
   @Test
   void aConnectionServesAgainAfterAWholeAnswer() throws Exception {
     try (ScriptedEngine engine =
-        new ScriptedEngine(new Answer(OWN, After.KEEP), new Answer(SECOND, After.KEEP))) {
+        new ScriptedEngine(new Response(OWN, After.KEEP), new Response(SECOND, After.KEEP))) {
       Engine target = engineAt(engine.port());
       ask(target, "r1");
       assertEquals("200 body", ask(target, "r2"));
@@ -141,7 +141,8 @@
   @Test
   void bytesBehindAWholeAnswerBelongToNobody() throws Exception {
     try (ScriptedEngine engine =
-        new ScriptedEngine(new Answer(OWN + FOREIGN, After.KEEP), new Answer(SECOND, After.KEEP))) {
+        new ScriptedEngine(
+            new Response(OWN + FOREIGN, After.KEEP), new Response(SECOND, After.KEEP))) {
       Engine target = engineAt(engine.port());
       assertEquals("200 body", ask(target, "r1"));
       assertEquals("200 body", ask(target, "r2"));
@@ -152,9 +153,9 @@
   void aLateAnswerInTheNextOnesPlaceIsSkipped() throws Exception {
     try (ScriptedEngine engine =
         new ScriptedEngine(
-            new Answer(OWN, After.KEEP),
-            new Answer(OWN + SECOND, After.KEEP),
-            new Answer(OWN.replace("r1", "r3"), After.KEEP))) {
+            new Response(OWN, After.KEEP),
+            new Response(OWN + SECOND, After.KEEP),
+            new Response(OWN.replace("r1", "r3"), After.KEEP))) {
       Engine target = engineAt(engine.port());
       ask(target, "r1");
       assertEquals("200 body", ask(target, "r2"));
@@ -167,7 +168,7 @@
   void aConnectionThatTheEngineWantsClosedIsNotUsedAgain() throws Exception {
     String closing = OWN.replace("X-Id", "Connection: close\r\nX-Id");
     try (ScriptedEngine engine =
-        new ScriptedEngine(new Answer(closing, After.KEEP), new Answer(SECOND, After.KEEP))) {
+        new ScriptedEngine(new Response(closing, After.KEEP), new Response(SECOND, After.KEEP))) {
       Engine target = engineAt(engine.port());
       ask(target, "r1");
       ask(target, "r2");
@@ -179,9 +180,9 @@
   void aConnectionToAFormerLifeOfAnEngineIsNotUsedForTheNextOneAndIsClosed() throws Exception {
     try (ScriptedEngine engine =
         new ScriptedEngine(
-            new Answer(OWN, After.KEEP),
-            new Answer(SECOND, After.KEEP),
-            new Answer(OWN.replace("r1", "r3"), After.KEEP))) {
+            new Response(OWN, After.KEEP),
+            new Response(SECOND, After.KEEP),
+            new Response(OWN.replace("r1", "r3"), After.KEEP))) {
       EngineDirectory directory = new EngineDirectory(1);
       directory.put(bornAt(engine.port(), 1_000));
       Engine former = directory.ofService("s").get(0);
@@ -203,7 +204,7 @@
   @Test
   void aRefusedConnectionMeansThatNothingWasSent() throws Exception {
     int port;
-    try (ScriptedEngine engine = new ScriptedEngine(new Answer(OWN, After.KEEP))) {
+    try (ScriptedEngine engine = new ScriptedEngine(new Response(OWN, After.KEEP))) {
       port = engine.port();
     }
     assertEquals("NOT_SENT", ask(engineAt(port), "r1"));
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestHttpLoadReports.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestHttpLoadReports.java
@@ -23,7 +23,7 @@
 import org.baykeel.gateway.telemetry.GatewayMetrics;
 import org.baykeel.gateway.testing.ScriptedEngine;
 import org.baykeel.gateway.testing.ScriptedEngine.After;
-import org.baykeel.gateway.testing.ScriptedEngine.Answer;
+import org.baykeel.gateway.testing.ScriptedEngine.Response;
 import org.baykeel.gateway.topology.RoundTrips;
 import org.baykeel.gateway.topology.Topology;
 import org.junit.jupiter.api.AfterEach;
@@ -93,7 +93,7 @@
 
   @Test
   void oneConnectionIsKeptForAllQuestionsToAnEngine() throws Exception {
-    try (ScriptedEngine server = new ScriptedEngine(new Answer(REPORT, After.KEEP))) {
+    try (ScriptedEngine server = new ScriptedEngine(new Response(REPORT, After.KEEP))) {
       Engine engine = engineAt(server.port());
       for (int i = 0; i < 3; i++) {
         LoadQueryResult.Reported told =
@@ -109,7 +109,7 @@
 
   @Test
   void theConnectionToAnEngineThatIsNotAskedAnyMoreIsClosed() throws Exception {
-    try (ScriptedEngine server = new ScriptedEngine(new Answer(REPORT, After.KEEP))) {
+    try (ScriptedEngine server = new ScriptedEngine(new Response(REPORT, After.KEEP))) {
       Engine engine = engineAt(server.port());
       ask(engine);
       Thread.sleep(UNUSED_MILLIS);
@@ -127,7 +127,7 @@
   })
   void anErrorIsNoReport(String status, String expected) throws Exception {
     String bytes = "HTTP/1.1 " + status + "\r\nContent-Length: 0\r\n\r\n";
-    try (ScriptedEngine server = new ScriptedEngine(new Answer(bytes, After.KEEP))) {
+    try (ScriptedEngine server = new ScriptedEngine(new Response(bytes, After.KEEP))) {
       assertEquals(expected, ask(engineAt(server.port())).toString());
     }
   }
@@ -135,7 +135,7 @@
   @Test
   void bytesThatAreNoReportAreSaidToBeNone() throws Exception {
     String bytes = REPORT.replace("7", "x");
-    try (ScriptedEngine server = new ScriptedEngine(new Answer(bytes, After.KEEP))) {
+    try (ScriptedEngine server = new ScriptedEngine(new Response(bytes, After.KEEP))) {
       assertEquals(new LoadQueryResult.Unavailable("no report"), ask(engineAt(server.port())));
     }
   }
@@ -143,7 +143,7 @@
   @Test
   void anEngineThatClosesWithoutAnAnswerHasLostTheQuestionAndIsAskedAnew() throws Exception {
     try (ScriptedEngine server =
-        new ScriptedEngine(new Answer("", After.CLOSE), new Answer(REPORT, After.KEEP))) {
+        new ScriptedEngine(new Response("", After.CLOSE), new Response(REPORT, After.KEEP))) {
       Engine engine = engineAt(server.port());
       assertInstanceOf(LoadQueryResult.NoResponse.class, ask(engine));
       assertInstanceOf(LoadQueryResult.Reported.class, ask(engine));
@@ -152,7 +152,7 @@
 
   @Test
   void aSilentEngineIsGivenUpAndNotAskedTwiceMeanwhile() throws Exception {
-    try (ScriptedEngine server = new ScriptedEngine(new Answer("", After.KEEP))) {
+    try (ScriptedEngine server = new ScriptedEngine(new Response("", After.KEEP))) {
       Engine engine = engineAt(server.port());
       CompletableFuture<LoadQueryResult> first = begin(engine);
       CompletableFuture<LoadQueryResult> second = begin(engine);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestIngressConnection.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestIngressConnection.java
@@ -16,7 +16,7 @@
 import org.baykeel.gateway.residency.Residency;
 import org.baykeel.gateway.testing.ScriptedEngine;
 import org.baykeel.gateway.testing.ScriptedEngine.After;
-import org.baykeel.gateway.testing.ScriptedEngine.Answer;
+import org.baykeel.gateway.testing.ScriptedEngine.Response;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -37,7 +37,7 @@
 
   @BeforeEach
   void start() throws IOException {
-    engine = new ScriptedEngine(new Answer(ANSWER, After.KEEP));
+    engine = new ScriptedEngine(new Response(ANSWER, After.KEEP));
     Route route =
         new Route(
             "r",
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSilentConnections.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSilentConnections.java
@@ -24,7 +24,7 @@
 import org.baykeel.gateway.directory.Engine;
 import org.baykeel.gateway.directory.EngineDirectory;
 import org.baykeel.gateway.directory.EngineRecord;
-import org.baykeel.gateway.history.KeptTurn;
+import org.baykeel.gateway.history.StoredTurn;
 import org.baykeel.gateway.link.LinkClient;
 import org.baykeel.gateway.link.LinkServer;
 import org.baykeel.gateway.link.LinkServices;
@@ -46,8 +46,8 @@
 
 /** Open connections fall silent for good, without being closed, while new ones work. */
 class TestSilentConnections {
-  private static final ScriptedEngine.Answer ANSWER =
-      new ScriptedEngine.Answer(
+  private static final ScriptedEngine.Response ANSWER =
+      new ScriptedEngine.Response(
           "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=60\r\nContent-Length: 2\r\n\r\nok",
           ScriptedEngine.After.KEEP);
   private static final long SILENT_MILLIS = 700;
@@ -172,7 +172,7 @@
         }
 
         @Override
-        public List<KeptTurn> turnsInMemory(String turnId) {
+        public List<StoredTurn> turnsInMemory(String turnId) {
           return List.of();
         }
       };
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLink.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLink.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.baykeel.gateway.budget.GrantTransfer;
-import org.baykeel.gateway.history.KeptTurn;
+import org.baykeel.gateway.history.StoredTurn;
 import org.baykeel.gateway.peer.PeerAddress;
 import org.baykeel.gateway.peer.PeerDistance;
 import org.baykeel.gateway.program.ProgramId;
@@ -33,8 +33,8 @@
   private static final long PATIENCE_SECONDS = 10;
   private static final ProgramId PROGRAM = new ProgramId("p");
   private static final GrantTransfer TRANSFER = new GrantTransfer(500, 2_000, 17, 99);
-  private static final KeptTurn TURN =
-      new KeptTurn("t2", List.of("t1"), new byte[] {1, 2}, new byte[70_000]);
+  private static final StoredTurn TURN =
+      new StoredTurn("t2", List.of("t1"), new byte[] {1, 2}, new byte[70_000]);
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -59,7 +59,7 @@
       }
 
       @Override
-      public List<KeptTurn> turnsInMemory(String turnId) {
+      public List<StoredTurn> turnsInMemory(String turnId) {
         return turnId.equals(TURN.id()) ? List.of(TURN) : List.of();
       }
     };
@@ -157,9 +157,9 @@
   @Test
   void turnsAreHandedOverWhole() throws Exception {
     PeerAddress peer = serve((call, answer) -> {});
-    CompletableFuture<List<KeptTurn>> turns = new CompletableFuture<>();
+    CompletableFuture<List<StoredTurn>> turns = new CompletableFuture<>();
     group.next().execute(() -> client.requestTurns(peer, "t2", turns::complete));
-    KeptTurn turn = turns.get(PATIENCE_SECONDS, TimeUnit.SECONDS).get(0);
+    StoredTurn turn = turns.get(PATIENCE_SECONDS, TimeUnit.SECONDS).get(0);
     assertEquals(TURN.chain(), turn.chain());
     assertArrayEquals(TURN.input(), turn.input());
     assertArrayEquals(TURN.output(), turn.output());
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLinkCodec.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLinkCodec.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import java.util.stream.Stream;
 import org.baykeel.gateway.budget.GrantTransfer;
-import org.baykeel.gateway.history.KeptTurn;
+import org.baykeel.gateway.history.StoredTurn;
 import org.baykeel.gateway.program.ProgramId;
 import org.baykeel.gateway.remote.StoreCall;
 import org.baykeel.gateway.remote.StoreReply;
@@ -34,7 +34,7 @@
           new LinkMessage.GrantAnswer(1, Optional.of(new GrantTransfer(5, 10, 3, 4))),
           new LinkMessage.TurnsRequest(1, "t"),
           new LinkMessage.TurnsAnswer(
-              1, List.of(new KeptTurn("t", List.of("s"), new byte[3], new byte[4]))));
+              1, List.of(new StoredTurn("t", List.of("s"), new byte[3], new byte[4]))));
 
   static Stream<byte[]> nonsense() {
     byte[] otherSchema = LinkCodec.encode(REPLY);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLinksOfProduction.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLinksOfProduction.java
@@ -68,7 +68,7 @@
     List<LinkMessage> heard = new ArrayList<>();
     EmbeddedChannel channel = new EmbeddedChannel();
     LinkChannel.prepare(channel.pipeline(), heard::add, () -> {});
-    receive(channel, RecordedBytes.ofUnknownKind(RECORDED.named("grant-answer")));
+    receive(channel, RecordedBytes.withUnknownTemplate(RECORDED.named("grant-answer")));
     receive(channel, RECORDED.named("grant-request"));
     assertTrue(channel.isOpen());
     assertEquals(List.of(LinkCodec.decode(RECORDED.named("grant-request"))), heard);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/load/SimulatedRegion.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/load/SimulatedRegion.java
@@ -18,7 +18,7 @@
 import org.baykeel.gateway.telemetry.GatewayEvent;
 import org.baykeel.gateway.telemetry.GatewayMetrics;
 import org.baykeel.gateway.testing.TestingEventLoop;
-import org.baykeel.gateway.testing.TestingLoadReports;
+import org.baykeel.gateway.testing.TestingLoadReportClient;
 import org.baykeel.gateway.testing.TestingPeerNetwork;
 import org.baykeel.gateway.testing.TestingStore;
 import org.baykeel.gateway.topology.RegionId;
@@ -40,7 +40,7 @@
   final TestingEventLoop eventLoop = new TestingEventLoop();
   final TestingStore store = new TestingStore(eventLoop);
   final TestingPeerNetwork network = new TestingPeerNetwork(eventLoop);
-  final TestingLoadReports reports = new TestingLoadReports(eventLoop);
+  final TestingLoadReportClient reports = new TestingLoadReportClient(eventLoop);
   final List<Node> nodes = new ArrayList<>();
   private final int engineCount;
 
@@ -157,7 +157,7 @@
   /** The node that asked an engine last. */
   Node reporterOf(String engine) {
     String name = null;
-    for (TestingLoadReports.Question question : reports.questions()) {
+    for (TestingLoadReportClient.Query question : reports.queries()) {
       if (question.engine().equals(engine)) {
         name = question.node();
       }
@@ -168,12 +168,12 @@
 
   /** The nodes that ask an engine from now on for a while, one entry a question. */
   List<String> askers(String engine, long millis) {
-    int before = reports.questions().size();
+    int before = reports.queries().size();
     eventLoop.advance(millis);
-    return reports.questions().stream()
+    return reports.queries().stream()
         .skip(before)
         .filter(question -> question.engine().equals(engine))
-        .map(TestingLoadReports.Question::node)
+        .map(TestingLoadReportClient.Query::node)
         .toList();
   }
 
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/load/TestSharedLoad.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/load/TestSharedLoad.java
@@ -247,9 +247,9 @@
     SimulatedRegion region = new SimulatedRegion(1, 1, SimulatedRegion.LOADED);
     region.reports.silence("e0");
     region.eventLoop.advance(150);
-    int before = region.reports.questions().size();
+    int before = region.reports.queries().size();
     region.eventLoop.advance(200);
-    assertTrue(region.reports.questions().size() - before <= 1);
+    assertTrue(region.reports.queries().size() - before <= 1);
   }
 
   @Test
@@ -273,7 +273,7 @@
     SimulatedRegion.Node late = region.start(77);
     region.eventLoop.advance(3_000);
     assertTrue(
-        region.reports.questions().stream().noneMatch(asked -> asked.node().equals(late.name)));
+        region.reports.queries().stream().noneMatch(asked -> asked.node().equals(late.name)));
     assertEquals(0, late.figure("engines_reported_here"));
   }
 
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestMessagesOfProduction.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestMessagesOfProduction.java
@@ -80,7 +80,7 @@
   @ParameterizedTest
   @MethodSource("names")
   void laterKindsArePassedOver(String name) {
-    byte[] unknown = RecordedBytes.ofUnknownKind(RECORDED.named(name));
+    byte[] unknown = RecordedBytes.withUnknownTemplate(RECORDED.named(name));
     assertEquals(Optional.empty(), codec.decode(unknown));
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestLimitUnderLoad.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestLimitUnderLoad.java
@@ -57,7 +57,7 @@
     }
 
     private void begin(int program, int retriesLeft) {
-      TokenDecision decision = decide(RequestClass.OPENING, program);
+      TokenDecision decision = decide(RequestKind.FIRST_TURN, program);
       if (decision.tokens() > 0) {
         begun++;
         eventLoop.schedule(pauseMillis, () -> proceed(program, 1));
@@ -70,14 +70,14 @@
       if (request == REQUESTS) {
         return;
       }
-      if (decide(RequestClass.CONTINUING, program).tokens() > 0) {
+      if (decide(RequestKind.CONTINUING, program).tokens() > 0) {
         eventLoop.schedule(pauseMillis, () -> proceed(program, request + 1));
       } else {
         broken++;
       }
     }
 
-    private TokenDecision decide(RequestClass kind, int program) {
+    private TokenDecision decide(RequestKind kind, int program) {
       TokenDecision decision = buckets.decide(tenant, kind, program, 1, eventLoop.nanoTime());
       if (millis() >= HOT_FROM_MILLIS && millis() < HOT_UNTIL_MILLIS) {
         servedWhileHot += decision.tokens();
@@ -187,7 +187,7 @@
     while (eventLoop.nanoTime() < end) {
       if (random.nextDouble() < times / 10) {
         TokenDecision decision =
-            buckets.decide(tenant, RequestClass.OPENING, 0, 1, eventLoop.nanoTime());
+            buckets.decide(tenant, RequestKind.FIRST_TURN, 0, 1, eventLoop.nanoTime());
         boolean counts = eventLoop.nanoTime() > settled;
         sum += counts ? decision.use().multiple() : 0;
         told += counts ? 1 : 0;
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestSharedRequestLimiter.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestSharedRequestLimiter.java
@@ -105,8 +105,7 @@
 
   private void ask(PeerAddress node, int times) {
     for (int i = 0; i < times; i++) {
-      LimitedRequest request =
-          new LimitedRequest(TENANT, RequestClass.CONTINUING, Optional.empty());
+      LimitedRequest request = new LimitedRequest(TENANT, RequestKind.CONTINUING, Optional.empty());
       nodes.get(node).decide(request, 900, decisions::add);
     }
   }
@@ -153,7 +152,9 @@
     nodes
         .get(OTHER)
         .decide(
-            new LimitedRequest(free, RequestClass.OPENING, Optional.empty()), 900, decisions::add);
+            new LimitedRequest(free, RequestKind.FIRST_TURN, Optional.empty()),
+            900,
+            decisions::add);
     assertEquals(1, allowed());
   }
 
@@ -188,7 +189,7 @@
   void ofATenantWithoutALimitNoUseIsKnown() {
     create(OTHER);
     Tenant free = TestingTenancy.tenant("free", 0, 0);
-    LimitedRequest request = new LimitedRequest(free, RequestClass.OPENING, Optional.empty());
+    LimitedRequest request = new LimitedRequest(free, RequestKind.FIRST_TURN, Optional.empty());
     nodes.get(OTHER).decide(request, 900, decisions::add);
     assertEquals(LimitUse.UNKNOWN.multiple(), toldUse(0));
   }
@@ -213,7 +214,7 @@
   @ParameterizedTest
   @ValueSource(doubles = {Double.NaN, -1, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY})
   void aUseThatIsNoneIsUnknown(double told) {
-    assertEquals(LimitUse.UNKNOWN, LimitUse.told(told));
+    assertEquals(LimitUse.UNKNOWN, LimitUse.ofPeer(told));
   }
 
   @Test
@@ -279,18 +280,18 @@
   void aTokenOfASliceIsUsedOnlyForAWhile(long laterMillis, boolean usable) {
     TokenSlice slice = new TokenSlice();
     slice.add(2, 400_000_000, true, LimitUse.UNKNOWN, 0);
-    assertEquals(usable, slice.take(RequestClass.CONTINUING, laterMillis * 1_000_000));
+    assertEquals(usable, slice.take(RequestKind.CONTINUING, laterMillis * 1_000_000));
   }
 
   @Test
   void programsBeginWithASliceOnlyWhereItsHolderAllowsIt() {
     TokenSlice slice = new TokenSlice();
     slice.add(2, 400_000_000, false, LimitUse.UNKNOWN, 0);
-    assertFalse(slice.take(RequestClass.OPENING, 0));
-    assertTrue(slice.take(RequestClass.CONTINUING, 0));
+    assertFalse(slice.take(RequestKind.FIRST_TURN, 0));
+    assertTrue(slice.take(RequestKind.CONTINUING, 0));
     assertEquals(1, slice.add(1, 900_000_000, true, LimitUse.UNKNOWN, 500_000_000));
-    assertTrue(slice.take(RequestClass.OPENING, 500_000_000));
-    assertFalse(slice.take(RequestClass.OPENING, 500_000_000));
+    assertTrue(slice.take(RequestKind.FIRST_TURN, 500_000_000));
+    assertFalse(slice.take(RequestKind.FIRST_TURN, 500_000_000));
   }
 
   @Test
@@ -328,7 +329,7 @@
     startBoth();
     ask(HOLDER, CAPACITY + 1);
     decisions.clear();
-    LimitedRequest request = new LimitedRequest(TENANT, RequestClass.CONTINUING, Optional.empty());
+    LimitedRequest request = new LimitedRequest(TENANT, RequestKind.CONTINUING, Optional.empty());
     nodes.get(HOLDER).decide(request, 50, decisions::add);
     assertInstanceOf(Decision.Exceeded.class, decisions.get(0));
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestTokenBucket.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestTokenBucket.java
@@ -81,8 +81,8 @@
     int opened = 0;
     int continued = 0;
     for (long now = 0; now < 5 * SECOND; now += 10_000_000) {
-      opened += buckets.decide(tenant, RequestClass.OPENING, 0, 1, now).tokens();
-      TokenDecision decision = buckets.decide(tenant, RequestClass.CONTINUING, 0, 1, now);
+      opened += buckets.decide(tenant, RequestKind.FIRST_TURN, 0, 1, now).tokens();
+      TokenDecision decision = buckets.decide(tenant, RequestKind.CONTINUING, 0, 1, now);
       boolean inTime = now + decision.retryMillis() * 1_000_000 < 5 * SECOND;
       continued += inTime ? decision.tokens() : 0;
     }
@@ -95,34 +95,34 @@
   void aProgramThatHasBegunGoesOn() {
     Tenant tenant = TestingTenancy.tenant("t", 20, 20);
     PartitionBuckets buckets = new PartitionBuckets(0, Double.MAX_VALUE, false);
-    assertEquals(1, buckets.decide(tenant, RequestClass.OPENING, 7, 1, 0).tokens());
+    assertEquals(1, buckets.decide(tenant, RequestKind.FIRST_TURN, 7, 1, 0).tokens());
     for (int i = 0; i < 60; i++) {
-      buckets.decide(tenant, RequestClass.CONTINUING, 0, 1, 0);
+      buckets.decide(tenant, RequestKind.CONTINUING, 0, 1, 0);
     }
     long now = SECOND / 4;
-    assertEquals(0, buckets.decide(tenant, RequestClass.OPENING, 8, 1, now).tokens());
-    assertEquals(1, buckets.decide(tenant, RequestClass.OPENING, 7, 1, now).tokens());
+    assertEquals(0, buckets.decide(tenant, RequestKind.FIRST_TURN, 8, 1, now).tokens());
+    assertEquals(1, buckets.decide(tenant, RequestKind.FIRST_TURN, 7, 1, now).tokens());
   }
 
   @Test
   void aTenantBelowItsLimitMayBeginProgramsWithItsLastToken() {
     Tenant tenant = TestingTenancy.tenant("t", 20, 20);
     PartitionBuckets buckets = new PartitionBuckets(0, 1, false);
-    assertEquals(1, buckets.decide(tenant, RequestClass.OPENING, 0, 1, 0).tokens());
+    assertEquals(1, buckets.decide(tenant, RequestKind.FIRST_TURN, 0, 1, 0).tokens());
   }
 
   @Test
   void aRefusalTellsWhenToComeBack() {
     Tenant tenant = TestingTenancy.tenant("t", 10, 1);
     PartitionBuckets buckets = new PartitionBuckets(0, 0, false);
-    assertEquals(100, buckets.decide(tenant, RequestClass.CONTINUING, 0, 1, 0).retryMillis());
-    assertEquals(200, buckets.decide(tenant, RequestClass.CONTINUING, 0, 1, 0).retryMillis());
-    TokenDecision refused = buckets.decide(tenant, RequestClass.CONTINUING, 0, 1, 0);
+    assertEquals(100, buckets.decide(tenant, RequestKind.CONTINUING, 0, 1, 0).retryMillis());
+    assertEquals(200, buckets.decide(tenant, RequestKind.CONTINUING, 0, 1, 0).retryMillis());
+    TokenDecision refused = buckets.decide(tenant, RequestKind.CONTINUING, 0, 1, 0);
     assertEquals(0, refused.tokens());
-    assertFalse(refused.openingsAllowed());
+    assertFalse(refused.firstTurnsAllowed());
     assertEquals(300, refused.retryMillis());
     long later = refused.retryMillis() * 1_000_000;
-    TokenDecision given = buckets.decide(tenant, RequestClass.CONTINUING, 0, 1, later);
+    TokenDecision given = buckets.decide(tenant, RequestKind.CONTINUING, 0, 1, later);
     assertEquals(1, given.tokens());
     assertEquals(0, given.retryMillis());
   }
@@ -132,7 +132,7 @@
   void aRequestThatBeginsAProgramDoesNotWaitForItsToken() {
     Tenant tenant = TestingTenancy.tenant("t", 10, 1);
     PartitionBuckets buckets = new PartitionBuckets(0, 0, false);
-    assertEquals(0, buckets.decide(tenant, RequestClass.OPENING, 0, 1, 0).tokens());
+    assertEquals(0, buckets.decide(tenant, RequestKind.FIRST_TURN, 0, 1, 0).tokens());
   }
 
   @ParameterizedTest(name = "rate {0}, burst {1}, {2} ms apart")
@@ -143,7 +143,7 @@
     PartitionBuckets buckets = new PartitionBuckets(0, Double.MAX_VALUE, false);
     List<Long> uses = new ArrayList<>();
     for (long now = 0; now < 20 * SECOND; now += stepMillis * 1_000_000) {
-      TokenDecision decision = buckets.decide(tenant, RequestClass.CONTINUING, 0, 1, now);
+      TokenDecision decision = buckets.decide(tenant, RequestKind.CONTINUING, 0, 1, now);
       if (decision.tokens() > 0) {
         assertEquals(1, decision.tokens());
         uses.add(now + decision.retryMillis() * 1_000_000);
@@ -165,13 +165,13 @@
     PartitionBuckets before = new PartitionBuckets(0, 0, false);
     PartitionBuckets after = new PartitionBuckets(0, 0, true);
     int lent = 0;
-    while (before.decide(tenant, RequestClass.CONTINUING, 0, 1, 0).tokens() > 0) {
+    while (before.decide(tenant, RequestKind.CONTINUING, 0, 1, 0).tokens() > 0) {
       lent++;
     }
     assertEquals(5, lent);
-    assertEquals(0, after.decide(tenant, RequestClass.CONTINUING, 0, 1, 0).tokens());
+    assertEquals(0, after.decide(tenant, RequestKind.CONTINUING, 0, 1, 0).tokens());
     long soon = SECOND / 20;
-    TokenDecision next = after.decide(tenant, RequestClass.CONTINUING, 0, 1, soon);
+    TokenDecision next = after.decide(tenant, RequestKind.CONTINUING, 0, 1, soon);
     assertEquals(1, next.tokens());
     assertEquals(250, next.retryMillis());
   }
@@ -180,7 +180,7 @@
   void aSliceIsAPartOfWhatIsLeft() {
     Tenant tenant = TestingTenancy.tenant("t", 1, 40);
     PartitionBuckets buckets = new PartitionBuckets(0, Double.MAX_VALUE, false);
-    assertEquals(10, buckets.decide(tenant, RequestClass.CONTINUING, 0, 64, 0).tokens());
-    assertEquals(7, buckets.decide(tenant, RequestClass.CONTINUING, 0, 64, 0).tokens());
+    assertEquals(10, buckets.decide(tenant, RequestKind.CONTINUING, 0, 64, 0).tokens());
+    assertEquals(7, buckets.decide(tenant, RequestKind.CONTINUING, 0, 64, 0).tokens());
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TenancyNode.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TenancyNode.java
@@ -16,7 +16,7 @@
 import org.baykeel.gateway.ratelimit.LimitedRequest;
 import org.baykeel.gateway.ratelimit.PartitionLeases;
 import org.baykeel.gateway.ratelimit.PartitionOrder;
-import org.baykeel.gateway.ratelimit.RequestClass;
+import org.baykeel.gateway.ratelimit.RequestKind;
 import org.baykeel.gateway.ratelimit.RequestLimiter.Decision;
 import org.baykeel.gateway.ratelimit.SharedRequestLimiter;
 import org.baykeel.gateway.runtime.EventLoop;
@@ -32,7 +32,7 @@
 import org.baykeel.gateway.tenancy.ApiKey;
 import org.baykeel.gateway.tenancy.ConfigurationFreshness;
 import org.baykeel.gateway.tenancy.KeyAuthenticator;
-import org.baykeel.gateway.tenancy.KeyAuthenticator.Verdict;
+import org.baykeel.gateway.tenancy.KeyAuthenticator.KeyDecision;
 import org.baykeel.gateway.tenancy.ProofExchange;
 import org.baykeel.gateway.tenancy.TenantDirectory;
 import org.baykeel.gateway.testing.TestingEventLoop;
@@ -183,7 +183,7 @@
             TableWatcher.Recovery.REREAD,
             (task, millis) -> loop.schedule(millis, task),
             new Configuration(catalogue));
-    freshness.checkBy(watcher::check);
+    freshness.setCheck(watcher::check);
     watcher.start();
     limiter.start();
   }
@@ -216,7 +216,7 @@
 
     @Override
     public void onComplete(long nanos) {
-      freshness.proven(nanos);
+      freshness.recordProof(nanos);
     }
   }
 
@@ -238,18 +238,18 @@
   }
 
   /** Takes a request; {@code run} is called if it may run, {@code limited} if its limit is over. */
-  void request(ApiKey key, RequestClass kind, Runnable run, Runnable limited) {
+  void request(ApiKey key, RequestKind kind, Runnable run, Runnable limited) {
     runOrKeep(
         () -> {
           if (version.isPresent()) {
-            authenticator.judge(
+            authenticator.authenticate(
                 key, time.nanoTime(), verdict -> onVerdict(verdict, kind, run, limited));
           }
         });
   }
 
-  private void onVerdict(Verdict verdict, RequestClass kind, Runnable run, Runnable limited) {
-    if (verdict instanceof Verdict.Accepted accepted) {
+  private void onVerdict(KeyDecision verdict, RequestKind kind, Runnable run, Runnable limited) {
+    if (verdict instanceof KeyDecision.Accepted accepted) {
       limiter.decide(
           new LimitedRequest(accepted.tenant(), kind, Optional.empty()),
           900,
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TestGatewaySimulation.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TestGatewaySimulation.java
@@ -13,7 +13,7 @@
 import org.baykeel.gateway.configuration.Route;
 import org.baykeel.gateway.configuration.RouteKind;
 import org.baykeel.gateway.configuration.ServiceProfile;
-import org.baykeel.gateway.history.KeptTurn;
+import org.baykeel.gateway.history.StoredTurn;
 import org.baykeel.gateway.history.TurnHistory.Lookup;
 import org.baykeel.gateway.program.ProgramId;
 import org.baykeel.gateway.residency.Residency;
@@ -205,7 +205,7 @@
         fresh.history().find(new ProgramId("any"), program.lastWhole(), giveUp, found::set);
         eventLoop.advance(2_000);
         assertTrue(found.get() instanceof Lookup.Found, seed + ": lost " + program.lastWhole());
-        List<KeptTurn> chain = ((Lookup.Found) found.get()).chain();
+        List<StoredTurn> chain = ((Lookup.Found) found.get()).chain();
         assertEquals(program.lastWhole(), chain.get(chain.size() - 1).id());
       }
     }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TestTenancySimulation.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TestTenancySimulation.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.baykeel.gateway.peer.PeerAddress;
-import org.baykeel.gateway.ratelimit.RequestClass;
+import org.baykeel.gateway.ratelimit.RequestKind;
 import org.baykeel.gateway.storage.RowAddress;
 import org.baykeel.gateway.tenancy.ApiKey;
 import org.baykeel.gateway.tenancy.RateLimit;
@@ -153,7 +153,7 @@
     private void send(Profile profile) {
       String key = profile.name() + '-' + (1 + random.nextInt(2));
       int node = random.nextInt(NODES);
-      RequestClass kind = random.nextInt(4) == 0 ? RequestClass.OPENING : RequestClass.CONTINUING;
+      RequestKind kind = random.nextInt(4) == 0 ? RequestKind.FIRST_TURN : RequestKind.CONTINUING;
       long sent = time.nanoTime();
       asked.merge(profile.name(), 1, Integer::sum);
       time.schedule(
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/tenancy/TestKeyAuthenticator.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/tenancy/TestKeyAuthenticator.java
@@ -8,7 +8,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.baykeel.gateway.tenancy.KeyAuthenticator.Verdict;
+import org.baykeel.gateway.tenancy.KeyAuthenticator.KeyDecision;
 import org.baykeel.gateway.testing.TestingEventLoop;
 import org.baykeel.gateway.testing.TestingTenancy;
 import org.junit.jupiter.api.Test;
@@ -21,20 +21,20 @@
 
   private final TestingEventLoop eventLoop = new TestingEventLoop();
   private final ConfigurationFreshness freshness = new ConfigurationFreshness(eventLoop);
-  private final List<Verdict> verdicts = new ArrayList<>();
+  private final List<KeyDecision> verdicts = new ArrayList<>();
   private TenantDirectory directory = TestingTenancy.tenants("a");
   private final KeyAuthenticator authenticator =
       TestingTenancy.authenticator(() -> directory, freshness);
   private int checks;
 
-  private Verdict judge(ApiKey key) {
+  private KeyDecision judge(ApiKey key) {
     verdicts.clear();
-    authenticator.judge(key, eventLoop.nanoTime(), verdicts::add);
+    authenticator.authenticate(key, eventLoop.nanoTime(), verdicts::add);
     return verdicts.isEmpty() ? null : verdicts.get(0);
   }
 
   private void proveNow() {
-    freshness.proven(eventLoop.nanoTime());
+    freshness.recordProof(eventLoop.nanoTime());
   }
 
   @ParameterizedTest(name = "proven {0} ms before the request: accepted {1}")
@@ -42,14 +42,14 @@
   void aKeyIsAcceptedOnlyShortlyAfterAProof(long ageMillis, boolean accepted) {
     proveNow();
     eventLoop.advance(ageMillis);
-    assertEquals(accepted, judge(KEY) instanceof Verdict.Accepted);
-    assertEquals(accepted, authenticator.recentEnough());
+    assertEquals(accepted, judge(KEY) instanceof KeyDecision.Accepted);
+    assertEquals(accepted, authenticator.canAcceptKeys());
   }
 
   @Test
   void withoutAnyProofNothingIsDecided() {
-    assertEquals(new Verdict.Undecided(-1), judge(KEY));
-    assertEquals(new Verdict.Undecided(-1), judge(null));
+    assertEquals(new KeyDecision.Undecided(-1), judge(KEY));
+    assertEquals(new KeyDecision.Undecided(-1), judge(null));
   }
 
   /** A process that stood still judges by when it read the request, not by when it was proven. */
@@ -57,14 +57,14 @@
   void aProofThatCameBeforeAFreezeDoesNotCountAfterIt() {
     proveNow();
     eventLoop.advance(6_000);
-    assertInstanceOf(Verdict.Undecided.class, judge(KEY));
+    assertInstanceOf(KeyDecision.Undecided.class, judge(KEY));
   }
 
   @Test
   void anOlderProofTakesNothingBack() {
     proveNow();
     long provenNanos = eventLoop.nanoTime();
-    freshness.proven(provenNanos - 1_000_000_000L);
+    freshness.recordProof(provenNanos - 1_000_000_000L);
     assertEquals(0, freshness.ageNanos());
   }
 
@@ -72,12 +72,12 @@
   void anUnknownKeyIsRuledOutOnlyByAProofAsOfItsArrival() {
     proveNow();
     eventLoop.advance(500);
-    freshness.checkBy(() -> checks++);
+    freshness.setCheck(() -> checks++);
     assertEquals(null, judge(UNKNOWN));
     assertEquals(1, checks);
     eventLoop.advance(10);
     proveNow();
-    assertInstanceOf(Verdict.RuledOut.class, verdicts.get(0));
+    assertInstanceOf(KeyDecision.Rejected.class, verdicts.get(0));
   }
 
   @Test
@@ -87,7 +87,7 @@
     judge(new ApiKey("key-b"));
     directory = TestingTenancy.tenants("a", "b");
     proveNow();
-    assertInstanceOf(Verdict.Accepted.class, verdicts.get(0));
+    assertInstanceOf(KeyDecision.Accepted.class, verdicts.get(0));
   }
 
   @Test
@@ -96,7 +96,7 @@
     eventLoop.advance(500);
     judge(UNKNOWN);
     eventLoop.advance(250);
-    assertEquals(new Verdict.Undecided(500), verdicts.get(0));
+    assertEquals(new KeyDecision.Undecided(500), verdicts.get(0));
   }
 
   /** Several wait; one proof that is too early for the second one makes another check. */
@@ -104,14 +104,14 @@
   void eachWaitsForAProofOfItsOwnTime() {
     proveNow();
     eventLoop.advance(500);
-    freshness.checkBy(() -> checks++);
+    freshness.setCheck(() -> checks++);
     long first = eventLoop.nanoTime();
-    List<Verdict> firstVerdicts = new ArrayList<>();
-    List<Verdict> secondVerdicts = new ArrayList<>();
-    authenticator.judge(UNKNOWN, first, firstVerdicts::add);
+    List<KeyDecision> firstVerdicts = new ArrayList<>();
+    List<KeyDecision> secondVerdicts = new ArrayList<>();
+    authenticator.authenticate(UNKNOWN, first, firstVerdicts::add);
     eventLoop.advance(5);
-    authenticator.judge(new ApiKey("key-y"), eventLoop.nanoTime(), secondVerdicts::add);
-    freshness.proven(first);
+    authenticator.authenticate(new ApiKey("key-y"), eventLoop.nanoTime(), secondVerdicts::add);
+    freshness.recordProof(first);
     assertEquals(1, firstVerdicts.size());
     assertTrue(secondVerdicts.isEmpty());
     assertEquals(3, checks);
@@ -123,9 +123,9 @@
     eventLoop.advance(100);
     judge(UNKNOWN);
     proveNow();
-    freshness.checkBy(() -> checks++);
+    freshness.setCheck(() -> checks++);
     eventLoop.advance(1_000);
-    assertInstanceOf(Verdict.RuledOut.class, judge(UNKNOWN));
+    assertInstanceOf(KeyDecision.Rejected.class, judge(UNKNOWN));
     assertEquals(0, checks);
     eventLoop.advance(1_000);
     assertEquals(null, judge(UNKNOWN));
@@ -137,13 +137,13 @@
     judge(KEY);
     directory = TestingTenancy.tenants("b");
     eventLoop.advance(100);
-    assertInstanceOf(Verdict.RuledOut.class, judge(KEY));
+    assertInstanceOf(KeyDecision.Rejected.class, judge(KEY));
   }
 
   @Test
   void aRequestWithoutAKeyIsRuledOut() {
     proveNow();
-    assertInstanceOf(Verdict.RuledOut.class, judge(null));
+    assertInstanceOf(KeyDecision.Rejected.class, judge(null));
   }
 
   @Test
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/RecordedBytes.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/RecordedBytes.java
@@ -93,7 +93,7 @@
   }
 
   /** The same bytes under an identifier that no version has. */
-  public static byte[] ofUnknownKind(byte[] message) {
+  public static byte[] withUnknownTemplate(byte[] message) {
     byte[] unknown = message.clone();
     put(unknown, TEMPLATE_OFFSET, 9_999);
     return unknown;
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/ScriptedEngine.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/ScriptedEngine.java
@@ -21,17 +21,17 @@
   }
 
   /** The bytes of one answer. */
-  public record Answer(String bytes, After after) {}
+  public record Response(String bytes, After after) {}
 
   private final ServerSocket listener;
-  private final List<Answer> answers;
+  private final List<Response> answers;
   private final AtomicInteger next = new AtomicInteger();
   private final AtomicInteger connections = new AtomicInteger();
   private final AtomicInteger open = new AtomicInteger();
   private final List<Socket> sockets = new CopyOnWriteArrayList<>();
   private final List<String> requests = new CopyOnWriteArrayList<>();
 
-  public ScriptedEngine(Answer... answers) throws IOException {
+  public ScriptedEngine(Response... answers) throws IOException {
     this.answers = List.of(answers);
     this.listener = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
     start(this::accept);
@@ -95,7 +95,7 @@
           return;
         }
         requests.add(head);
-        Answer answer = answers.get(Math.min(next.getAndIncrement(), answers.size() - 1));
+        Response answer = answers.get(Math.min(next.getAndIncrement(), answers.size() - 1));
         socket.getOutputStream().write(answer.bytes().getBytes(StandardCharsets.US_ASCII));
         socket.getOutputStream().flush();
         if (answer.after() == After.RESET) {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingHandover.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingHandover.java
@@ -10,7 +10,7 @@
 import org.baykeel.gateway.budget.GrantSource;
 import org.baykeel.gateway.budget.GrantTransfer;
 import org.baykeel.gateway.budget.ProgramBudgets;
-import org.baykeel.gateway.history.KeptTurn;
+import org.baykeel.gateway.history.StoredTurn;
 import org.baykeel.gateway.history.TurnHistory;
 import org.baykeel.gateway.history.TurnSource;
 import org.baykeel.gateway.program.ProgramId;
@@ -80,14 +80,14 @@
     }
 
     @Override
-    public void holds(ProgramId program) {
+    public void announceHolder(ProgramId program) {
       holders.put(program, this);
     }
 
     @Override
-    public void request(ProgramId program, String turnId, Consumer<List<KeptTurn>> answer) {
+    public void request(ProgramId program, String turnId, Consumer<List<StoredTurn>> answer) {
       Node holder = holders.get(program);
-      List<KeptTurn> turns =
+      List<StoredTurn> turns =
           holder == null || holder == this || holder.gone || holder.history == null
               ? List.of()
               : new ArrayList<>(holder.history.turnsInMemory(turnId));
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingLoadReports.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingLoadReportClient.java
@@ -15,19 +15,19 @@
 import org.baykeel.gateway.runtime.EventLoop;
 
 /** Engines that tell their load in memory and virtual time, as the test sets it. */
-public final class TestingLoadReports {
+public final class TestingLoadReportClient {
   private static final long WAY_MILLIS = 2;
   private static final long TIMEOUT_MILLIS = 100;
 
   private final EventLoop eventLoop;
   private final Map<String, LoadReport> reports = new HashMap<>();
   private final Set<String> silent = new HashSet<>();
-  private final List<Question> questions = new ArrayList<>();
+  private final List<Query> queries = new ArrayList<>();
 
   /** A node asked an engine. */
-  public record Question(String node, String engine, long nanos) {}
+  public record Query(String node, String engine, long nanos) {}
 
-  public TestingLoadReports(EventLoop eventLoop) {
+  public TestingLoadReportClient(EventLoop eventLoop) {
     this.eventLoop = eventLoop;
   }
 
@@ -52,8 +52,8 @@
   }
 
   /** All questions so far. */
-  public List<Question> questions() {
-    return questions;
+  public List<Query> queries() {
+    return queries;
   }
 
   /** The questions of a node. */
@@ -64,7 +64,7 @@
   private void ask(String node, Engine engine, Consumer<LoadQueryResult> answer) {
     String id = engine.record().id();
     long asked = eventLoop.nanoTime();
-    questions.add(new Question(node, id, asked));
+    queries.add(new Query(node, id, asked));
     if (silent.contains(id)) {
       eventLoop.schedule(
           TIMEOUT_MILLIS, () -> answer.accept(new LoadQueryResult.NoResponse("time-out")));
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingResponder.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingResponder.java
@@ -11,7 +11,7 @@
 
 /** Notes what a caller gets. */
 public final class TestingResponder implements CallResponder {
-  private final List<String> heard = new ArrayList<>();
+  private final List<String> received = new ArrayList<>();
   private final CallerFlow flow;
   private Refusal refusal;
 
@@ -22,7 +22,7 @@
 
   /** A caller for which is held what the test says. */
   public TestingResponder(HeldBytes held) {
-    flow = held.open((bytes, nodeBytes, unreadMillis) -> heard.add("too slow"));
+    flow = held.open((bytes, nodeBytes, unreadMillis) -> received.add("too slow"));
   }
 
   @Override
@@ -31,8 +31,8 @@
   }
 
   /** All that was heard, in order. */
-  public List<String> heard() {
-    return heard;
+  public List<String> received() {
+    return received;
   }
 
   /** The refusal, or null. */
@@ -43,31 +43,31 @@
   @Override
   public void refuse(Refusal newRefusal) {
     refusal = newRefusal;
-    heard.add("refuse " + newRefusal.kind());
+    received.add("refuse " + newRefusal.kind());
   }
 
   @Override
   public void respond(ResponseHead head, byte[] body) {
-    heard.add("answer " + head.status() + " " + new String(body, StandardCharsets.UTF_8));
+    received.add("answer " + head.status() + " " + new String(body, StandardCharsets.UTF_8));
   }
 
   @Override
   public void startStream(ResponseHead head) {
-    heard.add("begin");
+    received.add("begin");
   }
 
   @Override
   public void sendEvent(byte[] bytes) {
-    heard.add(new String(bytes, StandardCharsets.UTF_8).trim().replace('\n', ' '));
+    received.add(new String(bytes, StandardCharsets.UTF_8).trim().replace('\n', ' '));
   }
 
   @Override
   public void endStream() {
-    heard.add("end");
+    received.add("end");
   }
 
   @Override
   public void abortStream() {
-    heard.add("abort");
+    received.add("abort");
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingTransport.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingTransport.java
@@ -90,11 +90,11 @@
       listener.onComplete();
     }
 
-    public void breakOff() {
+    public void breakConnection() {
       listener.onFailure(Failure.BROKEN, "reset");
     }
 
-    public void neverSent() {
+    public void failUnsent() {
       listener.onFailure(Failure.NOT_SENT, "refused");
     }
 
