--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/buffering/CallerFlow.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/buffering/CallerFlow.java
@@ -6,9 +6,9 @@
  * what is left of an answer stays counted after its call.
  */
 public final class CallerFlow {
-  private final HeldBytes node;
+  private final HeldBytesLimiter node;
   private final SlowCallerListener listener;
-  private AnswerSource source = AnswerSource.NONE;
+  private ResponseSource source = ResponseSource.NONE;
   private long held;
   private long unreadSinceNanos;
   private boolean paused;
@@ -27,13 +27,13 @@
     void callerTooSlow(long held, long nodeHeld, long unreadMillis);
   }
 
-  CallerFlow(HeldBytes node, SlowCallerListener listener) {
+  CallerFlow(HeldBytesLimiter node, SlowCallerListener listener) {
     this.node = node;
     this.listener = listener;
   }
 
-  /** Sets where the caller's answer comes from now; {@link AnswerSource#NONE} if from nowhere. */
-  public void from(AnswerSource newSource) {
+  /** Sets where the caller's answer comes from now; {@link ResponseSource#NONE} if from nowhere. */
+  public void setSource(ResponseSource newSource) {
     source = newSource;
     if (paused) {
       source.pause();
@@ -53,7 +53,7 @@
   }
 
   /** The caller has read some of what was held. */
-  public void taken(long bytes) {
+  public void delivered(long bytes) {
     if (!closed) {
       unreadSinceNanos = node.nanoTime();
       release(bytes);
@@ -71,7 +71,7 @@
   /** The caller is gone: nothing is held for it. */
   public void close() {
     release(held);
-    source = AnswerSource.NONE;
+    source = ResponseSource.NONE;
     closed = true;
   }
 
@@ -111,7 +111,7 @@
   }
 
   boolean hasSource() {
-    return source != AnswerSource.NONE;
+    return source != ResponseSource.NONE;
   }
 
   boolean holdsBackSource() {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/buffering/HeldBytes.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/buffering/HeldBytesLimiter.java
@@ -18,7 +18,7 @@
  * deliverable; only a caller that has read nothing for long, and holds its bound while the node
  * does, is given up.
  */
-public final class HeldBytes {
+public final class HeldBytesLimiter {
   private static final Comparator<CallerFlow> GIVES_WAY_FIRST =
       Comparator.comparingLong(CallerFlow::held)
           .reversed()
@@ -27,7 +27,7 @@
   private final Bounds bounds;
   private final EventLoop eventLoop;
   private final Set<CallerFlow> holding = new LinkedHashSet<>();
-  private long total;
+  private long totalBytes;
   private boolean full;
 
   /**
@@ -71,7 +71,7 @@
    *
    * @param eventLoop the clock
    */
-  public HeldBytes(Bounds bounds, EventLoop eventLoop) {
+  public HeldBytesLimiter(Bounds bounds, EventLoop eventLoop) {
     this.bounds = bounds;
     this.eventLoop = eventLoop;
   }
@@ -82,12 +82,12 @@
   }
 
   /** Bytes held for all callers. */
-  public long total() {
-    return total;
+  public long totalBytes() {
+    return totalBytes;
   }
 
   /** Calls whose engines are not read at the moment. */
-  public long paused() {
+  public long pausedCalls() {
     return holding.stream().filter(CallerFlow::holdsBackSource).count();
   }
 
@@ -96,12 +96,12 @@
   }
 
   void held(CallerFlow flow, long bytes) {
-    total += bytes;
+    totalBytes += bytes;
     holding.add(flow);
     if (flow.held() >= bounds.callBytes()) {
       flow.pause();
     }
-    if (total >= bounds.nodeBytes()) {
+    if (totalBytes >= bounds.nodeBytes()) {
       full = true;
       pauseOne();
     }
@@ -115,11 +115,11 @@
   }
 
   void taken(CallerFlow flow, long bytes) {
-    total -= bytes;
+    totalBytes -= bytes;
     if (flow.held() == 0) {
       holding.remove(flow);
     }
-    if (full && total <= bounds.nodeResumeBytes()) {
+    if (full && totalBytes <= bounds.nodeResumeBytes()) {
       full = false;
       List.copyOf(holding).forEach(this::resumeIfRead);
     }
@@ -134,17 +134,17 @@
 
   /** Gives up callers that read nothing, as long as the node holds its bound. */
   public void sweep() {
-    if (total < bounds.nodeBytes()) {
+    if (totalBytes < bounds.nodeBytes()) {
       return;
     }
     List<CallerFlow> slowest = new ArrayList<>(holding);
     slowest.sort(GIVES_WAY_FIRST);
     for (CallerFlow flow : slowest) {
       long unreadMillis = (nanoTime() - flow.unreadSinceNanos()) / 1_000_000;
-      if (total >= bounds.nodeBytes()
+      if (totalBytes >= bounds.nodeBytes()
           && flow.held() >= bounds.callBytes()
           && unreadMillis >= bounds.unreadMillis()) {
-        flow.giveUp(total, unreadMillis);
+        flow.giveUp(totalBytes, unreadMillis);
       }
     }
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/buffering/AnswerSource.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/buffering/ResponseSource.java
@@ -1,10 +1,10 @@
 package org.baykeel.gateway.buffering;
 
 /** Where the bytes of an answer come from; brings no more while it is paused. */
-public interface AnswerSource {
+public interface ResponseSource {
   /** Brings nothing. */
-  AnswerSource NONE =
-      new AnswerSource() {
+  ResponseSource NONE =
+      new ResponseSource() {
         @Override
         public void pause() {}
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AttemptSequence.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AttemptSequence.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 import org.baykeel.core.error.ErrorKind;
-import org.baykeel.gateway.buffering.AnswerSource;
+import org.baykeel.gateway.buffering.ResponseSource;
 import org.baykeel.gateway.directory.Engine;
 import org.baykeel.gateway.residency.Residency;
 import org.baykeel.gateway.runtime.EventLoop;
@@ -16,7 +16,7 @@
  * <p>Invariant: a request that may run only once is sent again only if the engine states that it
  * did not run it or if not one byte of it was sent.
  */
-final class AttemptSequence implements EngineAttempt.Owner, AnswerSource, WaitQueue.Waiter {
+final class AttemptSequence implements EngineAttempt.Owner, ResponseSource, WaitQueue.Waiter {
   /** Engines that are asked one after the other before the request waits for room. */
   private static final int MAX_SENDS = 6;
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineAttempt.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineAttempt.java
@@ -3,7 +3,7 @@
 import java.io.ByteArrayOutputStream;
 import java.util.List;
 import org.baykeel.gateway.admission.ProgramAdmission;
-import org.baykeel.gateway.buffering.AnswerSource;
+import org.baykeel.gateway.buffering.ResponseSource;
 import org.baykeel.gateway.directory.Engine;
 import org.baykeel.gateway.directory.PromptPart;
 import org.baykeel.gateway.directory.ServicePerformance;
@@ -14,7 +14,7 @@
  * notes what it shows about the engine, unless it was not read for a while. After {@link #close}
  * the owner hears nothing more.
  */
-final class EngineAttempt implements EngineTransport.Listener, AnswerSource {
+final class EngineAttempt implements EngineTransport.Listener, ResponseSource {
   private static final int MISDIRECTED = 421;
 
   /** Why an engine did not run a request. */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ResponseRelay.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ResponseRelay.java
@@ -3,18 +3,18 @@
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
 import java.util.List;
-import org.baykeel.gateway.buffering.AnswerSource;
+import org.baykeel.gateway.buffering.ResponseSource;
 
 /**
  * Passes a stream on to the caller, across the engines that produce it. Events are held back until
  * their tokens are granted; an event that the caller already has is dropped. While much is held for
  * the caller, the engine is not read.
  */
-final class ResponseRelay implements AnswerSource {
+final class ResponseRelay implements ResponseSource {
   private final CallResponder responder;
   private final ByteArrayOutputStream output;
   private final List<StreamEvent> held = new ArrayList<>();
-  private AnswerSource source = AnswerSource.NONE;
+  private ResponseSource source = ResponseSource.NONE;
   private ResponseHead head;
   private boolean open;
   private boolean begun;
@@ -34,9 +34,9 @@
   }
 
   /** Sets which engine brings the answer from now on. */
-  void readsFrom(AnswerSource engine) {
+  void readsFrom(ResponseSource engine) {
     source = engine;
-    responder.flow().from(this);
+    responder.flow().setSource(this);
   }
 
   @Override
@@ -139,7 +139,7 @@
   int close() {
     held.forEach(event -> responder.flow().release(event.bytes().length));
     held.clear();
-    responder.flow().from(NONE);
+    responder.flow().setSource(NONE);
     return eventsPassed;
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/handover/HolderDirectory.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/handover/HolderDirectory.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import org.baykeel.gateway.peer.PeerAddress;
 import org.baykeel.gateway.peer.PeerDirectory;
-import org.baykeel.gateway.peer.PeerDistance;
+import org.baykeel.gateway.peer.PeerLatency;
 import org.baykeel.gateway.peer.PeerMessage;
 import org.baykeel.gateway.peer.PeerMessageCodec;
 import org.baykeel.gateway.peer.PeerMessageListener;
@@ -45,7 +45,7 @@
   private final PeerTransport transport;
   private final PeerMessageCodec codec;
   private final EventLoop eventLoop;
-  private final PeerDistance distance;
+  private final PeerLatency distance;
   private final Map<ProgramId, PeerAddress> holders =
       new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
@@ -75,7 +75,7 @@
       PeerTransport transport,
       PeerMessageCodec codec,
       EventLoop eventLoop,
-      PeerDistance distance) {
+      PeerLatency distance) {
     this.ownAddress = ownAddress;
     this.peers = peers;
     this.transport = transport;
@@ -176,7 +176,7 @@
   private PeerAddress registrar(ProgramId program) {
     PeerAddress best = ownAddress;
     int highest = rank(ownAddress, program);
-    for (PeerAddress peer : peers.nearby()) {
+    for (PeerAddress peer : peers.peersInRegion()) {
       int rank = rank(peer, program);
       if (rank > highest) {
         best = peer;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/CallTranslator.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/CallTranslator.java
@@ -24,8 +24,8 @@
   HttpHeaders engineHeaders(EngineRequest request, Engine engine);
 
   /** What an engine's status and header fields say. */
-  ResponseTraits traits(HttpResponse response);
+  ResponseTraits responseTraits(HttpResponse response);
 
   /** Adds to a refusal's header fields what callers of this deployment expect. */
-  void describeRefusal(HttpHeaders headers, Refusal refusal, CallAttributes attributes);
+  void addRefusalHeaders(HttpHeaders headers, Refusal refusal, CallAttributes attributes);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/EngineConnection.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/EngineConnection.java
@@ -28,7 +28,7 @@
    */
   private static final long SILENT_NANOS = 500_000_000L;
 
-  private final EngineConnections owner;
+  private final EngineConnectionPool owner;
   private final CallTranslator translator;
   private Channel channel;
   private PendingExchange current;
@@ -46,7 +46,7 @@
   private long sentNanos;
   private String failure = "closed";
 
-  EngineConnection(EngineConnections owner, CallTranslator translator) {
+  EngineConnection(EngineConnectionPool owner, CallTranslator translator) {
     this.owner = owner;
     this.translator = translator;
   }
@@ -91,7 +91,7 @@
     channel.config().setAutoRead(true);
   }
 
-  EngineConnections owner() {
+  EngineConnectionPool owner() {
     return owner;
   }
 
@@ -140,7 +140,7 @@
       informational = true;
       return;
     }
-    ResponseTraits traits = translator.traits(response);
+    ResponseTraits traits = translator.responseTraits(response);
     boolean own = current.requestId().equals(traits.requestId());
     if (!own && (traits.requestId() != null || used)) {
       skipping = true;
@@ -154,7 +154,7 @@
     noteKeepAlive(response.headers().get("Keep-Alive"));
     current.head(
         new ResponseHead(
-            response.status().code(), ConnectionFields.without(response.headers()), traits));
+            response.status().code(), HopByHopHeaders.copyWithout(response.headers()), traits));
   }
 
   private void noteKeepAlive(String keepAlive) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/EngineConnections.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/EngineConnectionPool.java
@@ -6,12 +6,12 @@
 import org.baykeel.gateway.directory.Engine;
 
 /** The connections of this process to one engine. */
-final class EngineConnections {
+final class EngineConnectionPool {
   private final Engine engine;
   private final ArrayDeque<EngineConnection> idle = new ArrayDeque<>();
   private int open;
 
-  EngineConnections(Engine engine) {
+  EngineConnectionPool(Engine engine) {
     this.engine = engine;
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/ConnectionFields.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/HopByHopHeaders.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /** Header fields that belong to one connection and are never passed on. */
-public final class ConnectionFields {
+public final class HopByHopHeaders {
   private static final Set<String> NAMES =
       Set.of(
           "connection",
@@ -24,10 +24,10 @@
           "content-length",
           "expect");
 
-  private ConnectionFields() {}
+  private HopByHopHeaders() {}
 
   /** A copy of the fields without those that belong to the connection they came on. */
-  public static HttpHeaders without(HttpHeaders headers) {
+  public static HttpHeaders copyWithout(HttpHeaders headers) {
     Set<String> named = namedByConnection(headers);
     HttpHeaders copy = new DefaultHttpHeaders(false);
     for (Map.Entry<String, String> field : headers) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/HttpLoadReportClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/HttpLoadReportClient.java
@@ -49,11 +49,11 @@
   /** An engine that is asked. */
   private static final class Asked {
     private final EngineRecord record;
-    private final HttpCaller caller;
+    private final PooledHttpClient caller;
     private boolean underWay;
     private long askedNanos;
 
-    Asked(EngineRecord record, HttpCaller caller) {
+    Asked(EngineRecord record, PooledHttpClient caller) {
       this.record = record;
       this.caller = caller;
     }
@@ -117,8 +117,8 @@
       known.caller.closeIdle();
     }
     InetSocketAddress address = new InetSocketAddress(record.host(), record.port());
-    HttpCaller caller =
-        new HttpCaller(group, address, "engine", metrics::engineConnectionOpened, log);
+    PooledHttpClient caller =
+        new PooledHttpClient(group, address, "engine", metrics::engineConnectionOpened, log);
     Asked asked = new Asked(record, caller);
     askedById.put(record.id(), asked);
     return asked;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/IngressConnection.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/IngressConnection.java
@@ -263,7 +263,7 @@
     written.addListener(
         taken -> {
           lastActivityNanos = System.nanoTime();
-          flow.taken(bytes);
+          flow.delivered(bytes);
         });
   }
 
@@ -274,7 +274,7 @@
         new DefaultHttpResponse(
             HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(refusal.kind().httpStatus()));
     response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain");
-    translator.describeRefusal(response.headers(), refusal, attributes);
+    translator.addRefusalHeaders(response.headers(), refusal, attributes);
     writeWhole(response, text);
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/IngressServer.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/IngressServer.java
@@ -15,7 +15,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import org.baykeel.gateway.buffering.HeldBytes;
+import org.baykeel.gateway.buffering.HeldBytesLimiter;
 import org.baykeel.gateway.call.CallCoordinator;
 import org.baykeel.gateway.call.GatewayState;
 import org.baykeel.gateway.call.GracefulStop;
@@ -35,7 +35,7 @@
   private final CallCoordinator coordinator;
   private final CallTranslator translator;
   private final GatewayState state;
-  private final HeldBytes held;
+  private final HeldBytesLimiter held;
   private final DecisionLog log;
   private final Set<IngressConnection> connections = new LinkedHashSet<>();
   private Channel listener;
@@ -49,7 +49,7 @@
       CallCoordinator coordinator,
       CallTranslator translator,
       GatewayState state,
-      HeldBytes held,
+      HeldBytesLimiter held,
       DecisionLog log) {
     this.coordinator = coordinator;
     this.translator = translator;
@@ -107,7 +107,7 @@
     return configuration == null ? RequestLimits.DEFAULT : configuration.limits();
   }
 
-  HeldBytes held() {
+  HeldBytesLimiter held() {
     return held;
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/KeptConnections.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/KeepAliveBootstrap.java
@@ -11,7 +11,7 @@
  * Connections that this process opens and keeps. One may fall silent for good without being closed,
  * while new ones work; probes of the operating system find out, so that it is not used again.
  */
-public final class KeptConnections {
+public final class KeepAliveBootstrap {
   /** Time without a byte after which the operating system probes, in seconds. */
   private static final int PROBE_AFTER_SECONDS = 1;
 
@@ -20,7 +20,7 @@
   /** Probes without an answer after which the connection counts as closed: 3 s in all. */
   private static final int PROBES = 2;
 
-  private KeptConnections() {}
+  private KeepAliveBootstrap() {}
 
   /**
    * A bootstrap for connections that notice the other end's silence.
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/NettyEngineTransport.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/NettyEngineTransport.java
@@ -36,7 +36,7 @@
   private final DecisionLog log;
 
   /** By life of an engine: no request to a later life goes over a connection to a former one. */
-  private final Map<Engine, EngineConnections> byEngine = new IdentityHashMap<>();
+  private final Map<Engine, EngineConnectionPool> byEngine = new IdentityHashMap<>();
 
   /**
    * Creates a transport without connections.
@@ -62,7 +62,7 @@
 
   @Override
   public Exchange send(Engine engine, EngineRequest request, Listener listener) {
-    EngineConnections connections = byEngine.computeIfAbsent(engine, EngineConnections::new);
+    EngineConnectionPool connections = byEngine.computeIfAbsent(engine, EngineConnectionPool::new);
     PendingExchange exchange =
         new PendingExchange(
             request.source().attributes().requestId(),
@@ -81,7 +81,7 @@
     return exchange;
   }
 
-  private void onSilence(EngineConnections connections, long millis) {
+  private void onSilence(EngineConnectionPool connections, long millis) {
     int resting = connections.dropIdle();
     log.write(
         GatewayEvent.CONNECTION_SILENT,
@@ -109,12 +109,12 @@
     return encoded;
   }
 
-  private void connect(Engine engine, EngineConnections connections, PendingExchange exchange) {
+  private void connect(Engine engine, EngineConnectionPool connections, PendingExchange exchange) {
     EngineConnection connection = new EngineConnection(connections, translator);
     connections.opened();
     metrics.engineConnectionOpened();
     long begunNanos = System.nanoTime();
-    KeptConnections.bootstrap(group, CONNECT_TIMEOUT_MILLIS)
+    KeepAliveBootstrap.bootstrap(group, CONNECT_TIMEOUT_MILLIS)
         .handler(
             new ChannelInitializer<SocketChannel>() {
               @Override
@@ -150,9 +150,9 @@
 
   private void sweep() {
     long now = System.nanoTime();
-    Iterator<EngineConnections> all = byEngine.values().iterator();
+    Iterator<EngineConnectionPool> all = byEngine.values().iterator();
     while (all.hasNext()) {
-      EngineConnections connections = all.next();
+      EngineConnectionPool connections = all.next();
       connections.closeExpired(now);
       if (connections.open() == 0 && connections.engine().removed()) {
         all.remove();
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/PendingExchange.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/PendingExchange.java
@@ -23,7 +23,7 @@
      * @param connections those to the same engine
      * @param millis how long nothing came
      */
-    void silent(EngineConnections connections, long millis);
+    void silent(EngineConnectionPool connections, long millis);
   }
 
   PendingExchange(
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/HttpCaller.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/PooledHttpClient.java
@@ -30,7 +30,7 @@
 import org.baykeel.gateway.telemetry.GatewayEvent;
 
 /** Makes HTTP calls to one address over kept connections, one call at a time on each. */
-public final class HttpCaller implements StoreCaller {
+public final class PooledHttpClient implements StoreCaller {
   private static final int CONNECT_TIMEOUT_MILLIS = 400;
   private static final int MAX_ANSWER_BYTES = 16 << 20;
   private static final int MAX_IDLE = 8;
@@ -49,7 +49,7 @@
    * @param group the event loop
    * @param address the only address that it calls
    */
-  public HttpCaller(EventLoopGroup group, InetSocketAddress address, DecisionLog log) {
+  public PooledHttpClient(EventLoopGroup group, InetSocketAddress address, DecisionLog log) {
     this(group, address, "store", () -> {}, log);
   }
 
@@ -59,7 +59,7 @@
    * @param kind what is called, for log lines
    * @param onConnect hears of each connection that is opened
    */
-  HttpCaller(
+  PooledHttpClient(
       EventLoopGroup group,
       InetSocketAddress address,
       String kind,
@@ -122,7 +122,7 @@
   private void connect(FullHttpRequest request, long timeoutMillis, Consumer<StoreReply> answer) {
     Connection connection = new Connection();
     onConnect.run();
-    KeptConnections.bootstrap(group, CONNECT_TIMEOUT_MILLIS)
+    KeepAliveBootstrap.bootstrap(group, CONNECT_TIMEOUT_MILLIS)
         .handler(
             new ChannelInitializer<SocketChannel>() {
               @Override
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkClient.java
@@ -17,9 +17,9 @@
 import org.baykeel.gateway.budget.GrantTransfer;
 import org.baykeel.gateway.handover.HandoverTransport;
 import org.baykeel.gateway.history.StoredTurn;
-import org.baykeel.gateway.http.KeptConnections;
+import org.baykeel.gateway.http.KeepAliveBootstrap;
 import org.baykeel.gateway.peer.PeerAddress;
-import org.baykeel.gateway.peer.PeerDistance;
+import org.baykeel.gateway.peer.PeerLatency;
 import org.baykeel.gateway.program.ProgramId;
 import org.baykeel.gateway.remote.RelayTransport;
 import org.baykeel.gateway.remote.StoreCall;
@@ -46,7 +46,7 @@
   private static final long ABANDONED_MILLIS = 4_000;
 
   private final EventLoopGroup group;
-  private final PeerDistance distance;
+  private final PeerLatency distance;
   private final DecisionLog log;
   private final Map<PeerAddress, Link> links = new HashMap<>();
 
@@ -56,7 +56,7 @@
    * @param group the event loop
    * @param distance how far other nodes are
    */
-  public LinkClient(EventLoopGroup group, PeerDistance distance, DecisionLog log) {
+  public LinkClient(EventLoopGroup group, PeerLatency distance, DecisionLog log) {
     this.group = group;
     this.distance = distance;
     this.log = log;
@@ -175,7 +175,7 @@
 
     private ChannelFuture connect() {
       ChannelFuture connecting =
-          KeptConnections.bootstrap(group, CONNECT_TIMEOUT_MILLIS)
+          KeepAliveBootstrap.bootstrap(group, CONNECT_TIMEOUT_MILLIS)
               .handler(
                   new ChannelInitializer<SocketChannel>() {
                     @Override
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadNoticePublisher.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadNoticePublisher.java
@@ -56,12 +56,12 @@
 
   /** The bytes that a round costs besides its engines. */
   long roundBytes() {
-    return EngineLoadNoticeCodec.emptyBytesOnLink() * peers.nearby().size();
+    return EngineLoadNoticeCodec.emptyWireBytes() * peers.peersInRegion().size();
   }
 
   /** The bytes that telling of an engine adds to a round. */
   long entryBytes(EngineId engine) {
-    return (long) EngineLoadNoticeCodec.entryBytes(engine) * peers.nearby().size();
+    return (long) EngineLoadNoticeCodec.entryBytes(engine) * peers.peersInRegion().size();
   }
 
   /** Whether there is room for bytes, or as much as there ever is. */
@@ -119,11 +119,11 @@
 
   private void send(PeerMessage.EngineLoadNotice notice, long nowNanos) {
     byte[] datagram = codec.encode(notice);
-    long cost = ByteBudget.onLink(datagram.length) * peers.nearby().size();
+    long cost = ByteBudget.wireBytes(datagram.length) * peers.peersInRegion().size();
     // Answers that came apart, or nodes that became known since, cost more than was set aside.
-    budget.spend(cost, nowNanos);
-    peers.nearby().forEach(peer -> transport.send(peer, datagram));
-    datagrams += peers.nearby().size();
+    budget.consume(cost, nowNanos);
+    peers.peersInRegion().forEach(peer -> transport.send(peer, datagram));
+    datagrams += peers.peersInRegion().size();
     bytes += cost;
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReporter.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReporter.java
@@ -75,14 +75,14 @@
       turns.keySet().removeIf(view -> view.engine().removed());
     }
     // A node that doesn't know the others yet would take itself for the first everywhere.
-    if (peers.ifRead().isPresent()) {
+    if (peers.peersIfLoaded().isPresent()) {
       askWhoIsDue(now);
     }
     eventLoop.schedule(TICK_MILLIS, this::tick);
   }
 
   private void askWhoIsDue(long now) {
-    int nodes = peers.nearby().size();
+    int nodes = peers.peersInRegion().size();
     int placesLeft = PLACES_PER_TICK;
     List<LoadQuerySchedule> round = new ArrayList<>();
     boolean anyDue = false;
@@ -93,7 +93,7 @@
       LoadQuerySchedule turn = turnOf(engine, now);
       if (!turn.placedAmong(nodes) && placesLeft > 0) {
         placesLeft--;
-        turn.place(order.placeOfSelf(engine.record().id()), nodes);
+        turn.place(order.rankOfSelf(engine.record().id()), nodes);
       }
       if (turn.nearlyDue(now)) {
         anyDue |= turn.due(now);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadSharing.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadSharing.java
@@ -6,7 +6,7 @@
 import org.baykeel.gateway.directory.LoadEstimate;
 import org.baykeel.gateway.peer.PeerAddress;
 import org.baykeel.gateway.peer.PeerDirectory;
-import org.baykeel.gateway.peer.PeerDistance;
+import org.baykeel.gateway.peer.PeerLatency;
 import org.baykeel.gateway.peer.PeerMessage;
 import org.baykeel.gateway.peer.PeerMessageCodec;
 import org.baykeel.gateway.peer.PeerMessageListener;
@@ -43,12 +43,12 @@
       PeerMessageCodec codec,
       Topology topology,
       LoadReportClient reports,
-      PeerDistance distance,
+      PeerLatency distance,
       EventLoop eventLoop,
       DecisionLog log) {
     this.engines = engines;
     this.eventLoop = eventLoop;
-    RendezvousOrder order = new RendezvousOrder(self, peers::nearby);
+    RendezvousOrder order = new RendezvousOrder(self, peers::peersInRegion);
     EventLoopLag stall =
         new EventLoopLag(LoadReporter.TICK_MILLIS * NANOS_PER_MILLI, eventLoop.nanoTime());
     this.board = new LoadView(engines, order, distance, eventLoop, stall);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadView.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadView.java
@@ -8,7 +8,7 @@
 import org.baykeel.gateway.directory.EngineDirectory;
 import org.baykeel.gateway.directory.EngineId;
 import org.baykeel.gateway.peer.PeerAddress;
-import org.baykeel.gateway.peer.PeerDistance;
+import org.baykeel.gateway.peer.PeerLatency;
 import org.baykeel.gateway.peer.PeerMessage;
 import org.baykeel.gateway.peer.PeerMessageListener;
 import org.baykeel.gateway.peer.RendezvousOrder;
@@ -24,7 +24,7 @@
 
   private final EngineDirectory engines;
   private final RendezvousOrder order;
-  private final PeerDistance distance;
+  private final PeerLatency distance;
   private final EventLoop eventLoop;
   private final EventLoopLag stall;
   private final Map<String, EngineLoadView> viewById = new HashMap<>();
@@ -40,7 +40,7 @@
   LoadView(
       EngineDirectory engines,
       RendezvousOrder order,
-      PeerDistance distance,
+      PeerLatency distance,
       EventLoop eventLoop,
       EventLoopLag stall) {
     this.engines = engines;
@@ -108,7 +108,7 @@
     long asOf = now - ageMillis * NANOS_PER_MILLI - stall.lateNanos(now);
     EngineLoadView view = viewOf(engine);
     boolean adopted = view.adopt(new LoadReport(told.load(), told.startMillis()), asOf, now);
-    if (adopted && order.precedesSelf(sender, view.id().value())) {
+    if (adopted && order.outranksSelf(sender, view.id().value())) {
       view.heardBefore(now);
       onHeardBefore.accept(view);
     }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/ByteBudget.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/ByteBudget.java
@@ -33,12 +33,12 @@
    *
    * @param contentBytes the message itself
    */
-  public static long onLink(int contentBytes) {
+  public static long wireBytes(int contentBytes) {
     return contentBytes + OVERHEAD_BYTES;
   }
 
   /** Takes bytes if there are as many; else takes none. */
-  public boolean take(long bytes, long nowNanos) {
+  public boolean tryConsume(long bytes, long nowNanos) {
     if (available(nowNanos) < bytes) {
       return false;
     }
@@ -47,7 +47,7 @@
   }
 
   /** Takes bytes also if there are not as many; what is missing must be saved first. */
-  public void spend(long bytes, long nowNanos) {
+  public void consume(long bytes, long nowNanos) {
     savedBytes = available(nowNanos) - bytes;
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineLoadNoticeCodec.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineLoadNoticeCodec.java
@@ -53,8 +53,8 @@
   }
 
   /** The bytes on a link of a notice that tells of no engine. */
-  public static long emptyBytesOnLink() {
-    return ByteBudget.onLink(EMPTY_BYTES);
+  public static long emptyWireBytes() {
+    return ByteBudget.wireBytes(EMPTY_BYTES);
   }
 
   /** The bytes that an engine adds to a notice. */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineSuspicionGossip.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineSuspicionNotifier.java
@@ -13,7 +13,7 @@
  * there. The word of another node counts for a short time, and only for requests that may run only
  * once: a node that alone can't reach an engine takes no more than that from the rest.
  */
-public final class EngineSuspicionGossip implements EngineSuspicionListener, PeerMessageListener {
+public final class EngineSuspicionNotifier implements EngineSuspicionListener, PeerMessageListener {
   private static final long BYTES_PER_SECOND = 8_192;
   private static final long MAX_SAVED_BYTES = 40_960;
 
@@ -26,7 +26,7 @@
   private final ByteBudget budget;
 
   /** Creates a gossip that has to be told of suspicions and given datagrams. */
-  public EngineSuspicionGossip(
+  public EngineSuspicionNotifier(
       EngineDirectory engines,
       PeerDirectory peers,
       PeerTransport transport,
@@ -46,9 +46,9 @@
   public void engineSuspected(Engine engine) {
     EngineId id = new EngineId(engine.record().id());
     byte[] notice = codec.encode(new PeerMessage.EngineSuspicion(id));
-    long bytes = ByteBudget.onLink(notice.length) * peers.nearby().size();
-    if (budget.take(bytes, eventLoop.nanoTime())) {
-      peers.nearby().forEach(peer -> transport.send(peer, notice));
+    long bytes = ByteBudget.wireBytes(notice.length) * peers.peersInRegion().size();
+    if (budget.tryConsume(bytes, eventLoop.nanoTime())) {
+      peers.peersInRegion().forEach(peer -> transport.send(peer, notice));
     }
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerDirectory.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerDirectory.java
@@ -54,7 +54,7 @@
   private final Topology topology;
   private final DecisionLog log;
   private final Map<PeerAddress, String> zoneByPeer = new LinkedHashMap<>();
-  private final Set<PeerAddress> nearby = new LinkedHashSet<>();
+  private final Set<PeerAddress> peersInRegion = new LinkedHashSet<>();
   private long ownRowVersion = Transaction.ABSENT;
   private boolean read;
 
@@ -123,7 +123,8 @@
     read = true;
     byte[] announcement = codec.encode(new PeerMessage.NodeAnnouncement(topology.ownZone()));
     zoneByPeer.keySet().forEach(peer -> transport.send(peer, announcement));
-    log.write(GatewayEvent.PEERS_KNOWN, "peers", zoneByPeer.size(), "in_region", nearby.size());
+    log.write(
+        GatewayEvent.PEERS_KNOWN, "peers", zoneByPeer.size(), "in_region", peersInRegion.size());
   }
 
   private void adopt(StoredRow row) {
@@ -172,9 +173,9 @@
     }
     zoneByPeer.put(peer, zone);
     if (localityOf(peer).inRegion()) {
-      nearby.add(peer);
+      peersInRegion.add(peer);
     } else {
-      nearby.remove(peer);
+      peersInRegion.remove(peer);
     }
   }
 
@@ -208,12 +209,12 @@
   }
 
   /** The nodes of this node's region that are known now, this one not among them. */
-  public Collection<PeerAddress> nearby() {
-    return Collections.unmodifiableSet(nearby);
+  public Collection<PeerAddress> peersInRegion() {
+    return Collections.unmodifiableSet(peersInRegion);
   }
 
   /** The nodes known now; nothing until they have been read from the store once. */
-  public Optional<Collection<PeerAddress>> ifRead() {
+  public Optional<Collection<PeerAddress>> peersIfLoaded() {
     return read ? Optional.of(peers()) : Optional.empty();
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessage.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessage.java
@@ -74,43 +74,43 @@
   /**
    * The sender has a request of a tenant and wants tokens of the tenant's limit.
    *
-   * @param questionId chosen by the sender; the reply carries it
+   * @param correlationId chosen by the sender; the reply carries it
    * @param wanted how many tokens are wanted; one is enough
-   * @param opening whether a program begins with the request, as far as the sender knows
+   * @param firstTurn whether a program begins with the request, as far as the sender knows
    * @param programHash a number of its program; 0 if it has none
    * @param tenant the tenant
    */
   record LimitTokenRequest(
-      long questionId, int wanted, boolean opening, int programHash, TenantId tenant)
+      long correlationId, int wanted, boolean firstTurn, int programHash, TenantId tenant)
       implements PeerMessage {}
 
   /**
    * What became of a request for tokens.
    *
-   * @param questionId that of the request
+   * @param correlationId that of the request
    * @param outcome whether tokens were given
    * @param tokens how many
-   * @param openingsAllowed whether programs may begin with them
+   * @param firstTurnsAllowed whether programs may begin with them
    * @param retryMillis when there will be some; if some were given, when they may be used
-   * @param left what the bucket still holds
+   * @param remaining what the bucket still holds
    * @param use what the tenant asked for lately
    * @param proof what proves the sender's configuration, if it has any proof
    */
   record LimitTokenReply(
-      long questionId,
+      long correlationId,
       LimitTokenOutcome outcome,
       int tokens,
-      boolean openingsAllowed,
+      boolean firstTurnsAllowed,
       long retryMillis,
-      float left,
+      float remaining,
       LimitUse use,
       Optional<ConfigurationProof> proof)
       implements PeerMessage {
 
     /** The same reply with a proof of the sender's configuration as of now. */
-    public LimitTokenReply with(Optional<ConfigurationProof> own) {
+    public LimitTokenReply withProof(Optional<ConfigurationProof> own) {
       return new LimitTokenReply(
-          questionId, outcome, tokens, openingsAllowed, retryMillis, left, use, own);
+          correlationId, outcome, tokens, firstTurnsAllowed, retryMillis, remaining, use, own);
     }
 
     /** The reply of a node that does not hold the tenant's bucket. */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessageCodec.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessageCodec.java
@@ -81,9 +81,9 @@
     if (message instanceof PeerMessage.LimitTokenRequest request) {
       return new LimitTokenRequestEncoder()
           .wrapAndApplyHeader(buffer, 0, header)
-          .questionId(request.questionId())
+          .questionId(request.correlationId())
           .wanted(request.wanted())
-          .opening((short) (request.opening() ? 1 : 0))
+          .opening((short) (request.firstTurn() ? 1 : 0))
           .programHash(request.programHash())
           .tenant(request.tenant().value())
           .encodedLength();
@@ -91,12 +91,12 @@
     if (message instanceof PeerMessage.LimitTokenReply reply) {
       return new LimitTokenReplyEncoder()
           .wrapAndApplyHeader(buffer, 0, header)
-          .questionId(reply.questionId())
+          .questionId(reply.correlationId())
           .outcome((short) reply.outcome().code())
           .tokens(reply.tokens())
-          .openingsAllowed((short) (reply.openingsAllowed() ? 1 : 0))
+          .openingsAllowed((short) (reply.firstTurnsAllowed() ? 1 : 0))
           .retryMillis(Math.min(MAX_RETRY_MILLIS, reply.retryMillis()))
-          .left(reply.left())
+          .left(reply.remaining())
           .proven((short) (reply.proof().isPresent() ? 1 : 0))
           .configurationVersion(reply.proof().map(ConfigurationProof::version).orElse(0L))
           .provenStoreMillis(reply.proof().map(ConfigurationProof::storeMillis).orElse(0L))
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/RendezvousOrder.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/RendezvousOrder.java
@@ -24,7 +24,7 @@
   }
 
   /** How many of the nodes known now come before this one. */
-  public int placeOfSelf(String key) {
+  public int rankOfSelf(String key) {
     int own = weight(self, key);
     int before = 0;
     for (PeerAddress peer : peers.get()) {
@@ -36,7 +36,7 @@
   }
 
   /** Whether a node, known or not, comes before this one. */
-  public boolean precedesSelf(PeerAddress peer, String key) {
+  public boolean outranksSelf(PeerAddress peer, String key) {
     return weight(peer, key) > weight(self, key);
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/placement/Placement.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/placement/Placement.java
@@ -92,7 +92,7 @@
           name + "_microseconds", () -> Math.round(roundTrips.millisTo(locality) * 1_000));
       metrics.gauge(
           name + "_age_milliseconds",
-          () -> roundTrips.agesMillis(eventLoop.nanoTime()).getOrDefault(locality, -1L));
+          () -> roundTrips.oldestAgesMillis(eventLoop.nanoTime()).getOrDefault(locality, -1L));
     }
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionOrder.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionOrder.java
@@ -25,6 +25,6 @@
 
   @Override
   public int applyAsInt(LimitPartition partition) {
-    return order.placeOfSelf(partition.key());
+    return order.rankOfSelf(partition.key());
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/SharedRequestLimiter.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/SharedRequestLimiter.java
@@ -8,7 +8,7 @@
 import java.util.function.Function;
 import org.baykeel.gateway.peer.LimitTokenOutcome;
 import org.baykeel.gateway.peer.PeerAddress;
-import org.baykeel.gateway.peer.PeerDistance;
+import org.baykeel.gateway.peer.PeerLatency;
 import org.baykeel.gateway.peer.PeerMessage;
 import org.baykeel.gateway.peer.PeerMessageCodec;
 import org.baykeel.gateway.peer.PeerMessageListener;
@@ -57,7 +57,7 @@
   private final LimitBounds bounds;
   private final Function<TenantId, Optional<Tenant>> tenants;
   private final ProofExchange proofs;
-  private final PeerDistance distance;
+  private final PeerLatency distance;
   private final GatewayMetrics metrics;
   private final Map<LimitPartition, HeldBuckets> buckets = new HashMap<>();
   private final Map<TenantId, OwnUse> ownUse = new HashMap<>();
@@ -126,7 +126,7 @@
       LimitBounds bounds,
       Function<TenantId, Optional<Tenant>> tenants,
       ProofExchange proofs,
-      PeerDistance distance,
+      PeerLatency distance,
       long firstQuestionId,
       GatewayMetrics metrics) {
     this.leases = leases;
@@ -215,7 +215,7 @@
     if (message instanceof PeerMessage.LimitTokenRequest request) {
       reply(sender, request);
     } else if (message instanceof PeerMessage.LimitTokenReply reply) {
-      Question question = questions.get(reply.questionId());
+      Question question = questions.get(reply.correlationId());
       if (question != null) {
         question.onReply(sender, reply);
       }
@@ -223,7 +223,7 @@
   }
 
   private void reply(PeerAddress sender, PeerMessage.LimitTokenRequest request) {
-    Asked asked = new Asked(sender, request.questionId());
+    Asked asked = new Asked(sender, request.correlationId());
     PeerMessage.LimitTokenReply reply = answers.get(asked);
     if (reply == null) {
       reply = answerTo(request);
@@ -231,20 +231,20 @@
         answers.put(asked, reply);
       }
     }
-    transport.send(sender, codec.encode(reply.with(proofs.own())));
+    transport.send(sender, codec.encode(reply.withProof(proofs.own())));
   }
 
   private PeerMessage.LimitTokenReply answerTo(PeerMessage.LimitTokenRequest request) {
     Tenant tenant = tenants.apply(request.tenant()).orElse(null);
     if (tenant == null || tenant.limit().unlimited()) {
       // Another configuration is in force there; it will not be so for long.
-      return PeerMessage.LimitTokenReply.notHeld(request.questionId());
+      return PeerMessage.LimitTokenReply.notHeld(request.correlationId());
     }
     int wanted = Math.max(1, Math.min(MAX_SLICE, request.wanted()));
-    RequestKind kind = request.opening() ? RequestKind.FIRST_TURN : RequestKind.CONTINUING;
+    RequestKind kind = request.firstTurn() ? RequestKind.FIRST_TURN : RequestKind.CONTINUING;
     return decideHere(tenant, kind, request.programHash(), wanted)
-        .map(decision -> replyOf(request.questionId(), decision))
-        .orElseGet(() -> PeerMessage.LimitTokenReply.notHeld(request.questionId()));
+        .map(decision -> replyOf(request.correlationId(), decision))
+        .orElseGet(() -> PeerMessage.LimitTokenReply.notHeld(request.correlationId()));
   }
 
   private PeerMessage.LimitTokenReply replyOf(long questionId, TokenDecision decision) {
@@ -340,7 +340,8 @@
       switch (reply.outcome()) {
         case GIVEN -> onTokens(Math.min(wanted, reply.tokens()), reply);
         case REFUSED ->
-            onDecision(new TokenDecision(0, false, reply.retryMillis(), reply.left(), reply.use()));
+            onDecision(
+                new TokenDecision(0, false, reply.retryMillis(), reply.remaining(), reply.use()));
         default -> onNotHeld();
       }
     }
@@ -357,10 +358,10 @@
         TokenSlice slice = ownUse.computeIfAbsent(request.tenant().id(), key -> new OwnUse()).slice;
         metrics.limitCounted(
             LimitFigure.LOST,
-            slice.add(tokens - 1, expires, reply.openingsAllowed(), reply.use(), now));
+            slice.add(tokens - 1, expires, reply.firstTurnsAllowed(), reply.use(), now));
       }
       onDecision(
-          new TokenDecision(1, reply.openingsAllowed(), reply.retryMillis(), 0, reply.use()));
+          new TokenDecision(1, reply.firstTurnsAllowed(), reply.retryMillis(), 0, reply.use()));
     }
 
     private void onDecision(TokenDecision decision) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RegionalRelays.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RegionalRelays.java
@@ -29,7 +29,7 @@
 
   @Override
   public Collection<PeerAddress> near() {
-    return peers.get().nearby();
+    return peers.get().peersInRegion();
   }
 
   @Override
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/topology/RoundTrips.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/topology/RoundTrips.java
@@ -71,7 +71,7 @@
   }
 
   /** The age of the oldest estimate by relation, in milliseconds; nothing where none was made. */
-  public Map<Locality, Long> agesMillis(long nowNanos) {
+  public Map<Locality, Long> oldestAgesMillis(long nowNanos) {
     Map<Locality, Long> ages = new EnumMap<>(Locality.class);
     byZone.forEach(
         (zone, estimate) ->
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/buffering/TestHeldBytes.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/buffering/TestHeldBytes.java
@@ -19,18 +19,18 @@
   private static final long UNREAD_MILLIS = 10_000;
 
   private final TestingEventLoop eventLoop = new TestingEventLoop();
-  private final HeldBytes held =
-      new HeldBytes(new HeldBytes.Bounds(CALL, NODE, UNREAD_MILLIS), eventLoop);
+  private final HeldBytesLimiter held =
+      new HeldBytesLimiter(new HeldBytesLimiter.Bounds(CALL, NODE, UNREAD_MILLIS), eventLoop);
   private final List<String> givenUp = new ArrayList<>();
 
   /** A call whose engine brings bytes while it is read. */
-  private final class Call implements AnswerSource {
+  private final class Call implements ResponseSource {
     private final CallerFlow flow;
     private boolean read = true;
 
     Call(String name) {
       flow = held.open((bytes, node, millis) -> givenUp.add(name + " " + bytes + " " + millis));
-      flow.from(this);
+      flow.setSource(this);
     }
 
     @Override
@@ -54,18 +54,18 @@
   @CsvSource({"99, 0, true", "100, 0, false", "100, 49, false", "100, 50, true", "180, 130, true"})
   void aCallIsPausedAtItsBoundUntilHalfOfThatIsRead(long bytes, long taken, boolean read) {
     Call call = holding("a", bytes);
-    call.flow.taken(taken);
+    call.flow.delivered(taken);
     assertEquals(read, call.read);
-    assertEquals(bytes - taken, held.total());
+    assertEquals(bytes - taken, held.totalBytes());
   }
 
   @Test
   void anEngineThatTakesTheAnswerOverIsNotReadEither() {
     Call call = holding("a", CALL);
     Call next = new Call("unused");
-    call.flow.from(next);
-    assertEquals(List.of(false, 1L), List.of(next.read, held.paused()));
-    call.flow.taken(CALL);
+    call.flow.setSource(next);
+    assertEquals(List.of(false, 1L), List.of(next.read, held.pausedCalls()));
+    call.flow.delivered(CALL);
     assertTrue(next.read);
   }
 
@@ -80,7 +80,7 @@
     for (int i = 0; i < 74; i++) {
       small.add(holding("small", 10));
     }
-    assertEquals(0, held.paused());
+    assertEquals(0, held.pausedCalls());
     small.get(0).flow.hold(10);
     assertEquals(List.of(false, true, true), List.of(most.read, longest.read, later.read));
     small.get(0).flow.hold(10);
@@ -97,9 +97,9 @@
       holding("other", 90);
     }
     assertEquals(false, reader.read);
-    reader.flow.taken(60);
+    reader.flow.delivered(60);
     assertEquals(false, reader.read);
-    reader.flow.taken(39);
+    reader.flow.delivered(39);
     assertTrue(reader.read);
   }
 
@@ -109,11 +109,11 @@
     for (int i = 0; i < 25; i++) {
       calls.add(holding("c", 40));
     }
-    assertEquals(1, held.paused());
-    calls.subList(1, 13).forEach(call -> call.flow.taken(40));
-    assertEquals(1, held.paused());
-    calls.get(13).flow.taken(40);
-    assertEquals(0, held.paused());
+    assertEquals(1, held.pausedCalls());
+    calls.subList(1, 13).forEach(call -> call.flow.delivered(40));
+    assertEquals(1, held.pausedCalls());
+    calls.get(13).flow.delivered(40);
+    assertEquals(0, held.pausedCalls());
   }
 
   @ParameterizedTest(name = "{0} of 10 callers read a little after 6 s")
@@ -125,7 +125,7 @@
     }
     held.sweep();
     eventLoop.advance(6_000);
-    calls.subList(0, readers).forEach(call -> call.flow.taken(1));
+    calls.subList(0, readers).forEach(call -> call.flow.delivered(1));
     eventLoop.advance(UNREAD_MILLIS - 6_000 - 1);
     held.sweep();
     assertEquals(List.of(), givenUp);
@@ -142,7 +142,7 @@
   @Test
   void whatIsHeldStaysDeliverableWhileTheNodeHasRoom() {
     Call call = holding("a", NODE - 1);
-    call.flow.from(AnswerSource.NONE);
+    call.flow.setSource(ResponseSource.NONE);
     eventLoop.advance(600_000);
     held.sweep();
     assertEquals(List.of(), givenUp);
@@ -154,15 +154,16 @@
     Call call = holding("a", 70);
     call.flow.close();
     call.flow.close();
-    call.flow.taken(70);
+    call.flow.delivered(70);
     call.flow.hold(30);
-    assertEquals(List.of(0L, 0L), List.of(held.total(), held.paused()));
+    assertEquals(List.of(0L, 0L), List.of(held.totalBytes(), held.pausedCalls()));
   }
 
   @ParameterizedTest
   @CsvSource({"0, 10, 1", "11, 10, 1", "5, 10, 0"})
   void boundsThatCantBeKeptAreRefused(long call, long node, long millis) {
-    assertThrows(IllegalArgumentException.class, () -> new HeldBytes.Bounds(call, node, millis));
+    assertThrows(
+        IllegalArgumentException.class, () -> new HeldBytesLimiter.Bounds(call, node, millis));
   }
 
   /** Four times the node's bound is asked for by callers half of which read nothing. */
@@ -184,11 +185,11 @@
       int reader = random.nextInt(20);
       long taken = calls.get(reader).flow.held();
       delivered[reader] += taken;
-      calls.get(reader).flow.taken(taken);
+      calls.get(reader).flow.delivered(taken);
       eventLoop.advance(1);
-      assertEquals(calls.stream().mapToLong(one -> one.flow.held()).sum(), held.total());
+      assertEquals(calls.stream().mapToLong(one -> one.flow.held()).sum(), held.totalBytes());
       // At the bound each call may bring one more piece before it is paused.
-      assertTrue(held.total() <= NODE + 40 * 10, "held " + held.total());
+      assertTrue(held.totalBytes() <= NODE + 40 * 10, "held " + held.totalBytes());
     }
     for (int i = 0; i < 20; i++) {
       assertTrue(delivered[i] > 500, "caller " + i + " got " + delivered[i]);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestCallOfSlowCaller.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestCallOfSlowCaller.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import org.baykeel.gateway.buffering.HeldBytes;
+import org.baykeel.gateway.buffering.HeldBytesLimiter;
 import org.baykeel.gateway.configuration.RouteKind;
 import org.baykeel.gateway.testing.TestingResponder;
 import org.baykeel.gateway.testing.TestingStore.Fault;
@@ -17,8 +17,9 @@
   private static final long CALL_BYTES = 100;
 
   private final SingleEngineNode node = new SingleEngineNode(RouteKind.STREAMING, true);
-  private final HeldBytes held =
-      new HeldBytes(new HeldBytes.Bounds(CALL_BYTES, 100_000, 10_000), node.eventLoop());
+  private final HeldBytesLimiter held =
+      new HeldBytesLimiter(
+          new HeldBytesLimiter.Bounds(CALL_BYTES, 100_000, 10_000), node.eventLoop());
   private final TestingResponder responder = new TestingResponder(held);
 
   private Sent streaming() {
@@ -34,7 +35,7 @@
     node.eventLoop().advance(2_000);
     assertEquals(1, node.transport().count());
     assertFalse(sent.cancelled());
-    responder.flow().taken(CALL_BYTES);
+    responder.flow().delivered(CALL_BYTES);
     assertFalse(sent.paused());
     node.eventLoop().advance(599);
     assertEquals(1, node.transport().count());
@@ -47,7 +48,7 @@
     Sent sent = streaming();
     responder.flow().hold(CALL_BYTES);
     node.eventLoop().advance(1_000);
-    responder.flow().taken(CALL_BYTES);
+    responder.flow().delivered(CALL_BYTES);
     node.eventLoop().advance(1_300);
     assertTrue(sent.cancelled());
   }
@@ -58,7 +59,7 @@
     double before = node.engine().interEventMillis();
     responder.flow().hold(CALL_BYTES);
     node.eventLoop().advance(1_500);
-    responder.flow().taken(CALL_BYTES);
+    responder.flow().delivered(CALL_BYTES);
     sent.event(2);
     assertEquals(before, node.engine().interEventMillis());
   }
@@ -70,19 +71,19 @@
     Sent sent = node.transport().last().stream();
     int events = 0;
     while (!sent.paused() && events < CALL_BYTES) {
-      assertTrue(held.total() < CALL_BYTES, "held " + held.total());
+      assertTrue(held.totalBytes() < CALL_BYTES, "held " + held.totalBytes());
       events++;
       sent.event(events);
     }
     assertEquals(List.of(), responder.received());
-    assertTrue(held.total() >= CALL_BYTES, "held " + held.total());
+    assertTrue(held.totalBytes() >= CALL_BYTES, "held " + held.totalBytes());
     node.store().fault(Fault.NONE);
     for (int millis = 0; sent.paused() && millis < 1_000; millis += 10) {
       node.eventLoop().advance(10);
     }
     assertFalse(sent.paused());
     assertEquals(1 + events, responder.received().size());
-    assertEquals(0, held.total());
+    assertEquals(0, held.totalBytes());
   }
 
   @Test
@@ -90,9 +91,9 @@
     node.store().fault(Fault.REFUSE);
     node.call(responder, "p", 100_000);
     node.transport().last().stream().event(1);
-    assertTrue(held.total() > 0);
+    assertTrue(held.totalBytes() > 0);
     node.eventLoop().advance(4_000);
-    assertEquals(0, held.total());
+    assertEquals(0, held.totalBytes());
   }
 
   @Test
@@ -103,6 +104,6 @@
     node.eventLoop().advance(60_000);
     held.sweep();
     assertEquals("end", responder.received().get(responder.received().size() - 1));
-    assertEquals(CALL_BYTES - 1, held.total());
+    assertEquals(CALL_BYTES - 1, held.totalBytes());
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/handover/TestHolderDirectory.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/handover/TestHolderDirectory.java
@@ -11,7 +11,7 @@
 import java.util.function.IntFunction;
 import org.baykeel.gateway.peer.PeerAddress;
 import org.baykeel.gateway.peer.PeerDirectory;
-import org.baykeel.gateway.peer.PeerDistance;
+import org.baykeel.gateway.peer.PeerLatency;
 import org.baykeel.gateway.peer.PeerMessage;
 import org.baykeel.gateway.peer.PeerMessageCodec;
 import org.baykeel.gateway.peer.PeerMessageDispatcher;
@@ -57,7 +57,7 @@
               topologies.apply(i),
               (event, fields) -> {});
       HolderDirectory holders =
-          new HolderDirectory(address, peers, transport, codec, eventLoop, PeerDistance.NONE);
+          new HolderDirectory(address, peers, transport, codec, eventLoop, PeerLatency.ZERO);
       network.attach(address, new PeerMessageDispatcher(codec, peers, List.of(holders)));
       peers.join();
       addresses.add(address);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/LoopbackGateway.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/LoopbackGateway.java
@@ -16,7 +16,7 @@
 import org.baykeel.gateway.budget.GrantIds;
 import org.baykeel.gateway.budget.GrantSource;
 import org.baykeel.gateway.budget.ProgramBudgets;
-import org.baykeel.gateway.buffering.HeldBytes;
+import org.baykeel.gateway.buffering.HeldBytesLimiter;
 import org.baykeel.gateway.call.CallCoordinator;
 import org.baykeel.gateway.call.GatewayContext;
 import org.baykeel.gateway.call.GatewayState;
@@ -47,14 +47,14 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final List<GatewayEvent> events = new CopyOnWriteArrayList<>();
-  private final HeldBytes held;
+  private final HeldBytesLimiter held;
   private final IngressServer ingress;
   private final int port;
 
-  LoopbackGateway(int enginePort, Route route, RequestLimits limits, HeldBytes.Bounds bounds)
+  LoopbackGateway(int enginePort, Route route, RequestLimits limits, HeldBytesLimiter.Bounds bounds)
       throws IOException {
     NettyEventLoop eventLoop = new NettyEventLoop(group.next());
-    held = new HeldBytes(bounds, eventLoop);
+    held = new HeldBytesLimiter(bounds, eventLoop);
     StoreHealth health = new StoreHealth();
     health.answered(System.nanoTime());
     EngineDirectory engines = new EngineDirectory(1);
@@ -118,12 +118,12 @@
 
   /** Bytes held for all callers. */
   long heldBytes() throws Exception {
-    return onLoop(held::total);
+    return onLoop(held::totalBytes);
   }
 
   /** Calls whose engines are not read. */
   long paused() throws Exception {
-    return onLoop(held::paused);
+    return onLoop(held::pausedCalls);
   }
 
   private long onLoop(LongSupplier reading) throws Exception {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestIngressConnection.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestIngressConnection.java
@@ -8,7 +8,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import org.baykeel.gateway.buffering.HeldBytes;
+import org.baykeel.gateway.buffering.HeldBytesLimiter;
 import org.baykeel.gateway.configuration.Backend;
 import org.baykeel.gateway.configuration.RequestLimits;
 import org.baykeel.gateway.configuration.Route;
@@ -56,7 +56,7 @@
             false,
             false,
             Residency.ANY);
-    gateway = new LoopbackGateway(engine.port(), route, LIMITS, HeldBytes.Bounds.DEFAULT);
+    gateway = new LoopbackGateway(engine.port(), route, LIMITS, HeldBytesLimiter.Bounds.DEFAULT);
     port = gateway.port();
   }
 
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSilentConnections.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSilentConnections.java
@@ -29,7 +29,7 @@
 import org.baykeel.gateway.link.LinkServer;
 import org.baykeel.gateway.link.LinkServices;
 import org.baykeel.gateway.peer.PeerAddress;
-import org.baykeel.gateway.peer.PeerDistance;
+import org.baykeel.gateway.peer.PeerLatency;
 import org.baykeel.gateway.program.ProgramId;
 import org.baykeel.gateway.remote.StoreCall;
 import org.baykeel.gateway.remote.StoreReply;
@@ -128,11 +128,11 @@
     }
   }
 
-  private StoreReply call(HttpCaller caller, long timeoutMillis) throws Exception {
+  private StoreReply call(PooledHttpClient caller, long timeoutMillis) throws Exception {
     return begin(caller, timeoutMillis).get(20, TimeUnit.SECONDS);
   }
 
-  private CompletableFuture<StoreReply> begin(HttpCaller caller, long timeoutMillis) {
+  private CompletableFuture<StoreReply> begin(PooledHttpClient caller, long timeoutMillis) {
     CompletableFuture<StoreReply> reply = new CompletableFuture<>();
     StoreCall call = new StoreCall(StoreCall.Method.GET, "/x", null, timeoutMillis, false);
     group.next().execute(() -> caller.call(call, reply::complete));
@@ -143,8 +143,8 @@
   void theStoresOtherKeptConnectionsAreNotTrustedEither() throws Exception {
     try (ScriptedEngine server = new ScriptedEngine(ANSWER);
         SilencingProxy proxy = new SilencingProxy(server.port())) {
-      HttpCaller caller =
-          new HttpCaller(
+      PooledHttpClient caller =
+          new PooledHttpClient(
               group,
               new InetSocketAddress("127.0.0.1", proxy.port()),
               (event, fields) -> events.add(event));
@@ -190,7 +190,7 @@
     var bound = new LinkServer(SERVICES).listen(group, any).syncUninterruptibly();
     int port = ((InetSocketAddress) bound.channel().localAddress()).getPort();
     // Long enough for a busy machine to answer in.
-    PeerDistance distance = peer -> 1_000;
+    PeerLatency distance = peer -> 1_000;
     LinkClient client = new LinkClient(group, distance, (event, fields) -> events.add(event));
     try (SilencingProxy proxy = new SilencingProxy(port)) {
       PeerAddress peer = new PeerAddress("127.0.0.1", proxy.port());
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSlowCallers.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSlowCallers.java
@@ -18,7 +18,7 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.concurrent.atomic.AtomicLong;
-import org.baykeel.gateway.buffering.HeldBytes;
+import org.baykeel.gateway.buffering.HeldBytesLimiter;
 import org.baykeel.gateway.configuration.Backend;
 import org.baykeel.gateway.configuration.RequestLimits;
 import org.baykeel.gateway.configuration.Route;
@@ -67,7 +67,7 @@
     gateway.close();
   }
 
-  private void start(RouteKind kind, HeldBytes.Bounds bounds) throws IOException {
+  private void start(RouteKind kind, HeldBytesLimiter.Bounds bounds) throws IOException {
     Route route =
         new Route(
             "r",
@@ -225,7 +225,7 @@
 
   @Test
   void anEngineIsReadNoFasterThanItsCallerReads() throws Exception {
-    start(RouteKind.STREAMING, HeldBytes.Bounds.DEFAULT);
+    start(RouteKind.STREAMING, HeldBytesLimiter.Bounds.DEFAULT);
     Socket caller = call();
     awaitStandstill();
     long held = gateway.heldBytes();
@@ -238,7 +238,7 @@
 
   @Test
   void anAnswerThatIsWholeIsDeliveredLateAfterItsEngineIsDone() throws Exception {
-    start(RouteKind.UNSAFE, new HeldBytes.Bounds(CALL_BYTES, 8 << 20, 5_000));
+    start(RouteKind.UNSAFE, new HeldBytesLimiter.Bounds(CALL_BYTES, 8 << 20, 5_000));
     Socket caller = call();
     await(() -> engineWrote.get() == ANSWER_BYTES);
     engine.close();
@@ -257,7 +257,7 @@
 
   @Test
   void aPlannedStopWaitsForWhatIsNotReadYet() throws Exception {
-    start(RouteKind.UNSAFE, HeldBytes.Bounds.DEFAULT);
+    start(RouteKind.UNSAFE, HeldBytesLimiter.Bounds.DEFAULT);
     Socket caller = call();
     await(() -> gateway.heldBytes() > CALL_BYTES);
     assertEquals(1, gateway.activeCalls());
@@ -268,7 +268,7 @@
 
   @Test
   void callersThatReadNothingGiveWayWhenTheNodeHoldsItsBound() throws Exception {
-    start(RouteKind.STREAMING, new HeldBytes.Bounds(64 << 10, 160 << 10, 3_000));
+    start(RouteKind.STREAMING, new HeldBytesLimiter.Bounds(64 << 10, 160 << 10, 3_000));
     Socket first = call();
     awaitStandstill();
     assertEquals(List.of(), gateway.events());
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLink.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLink.java
@@ -20,7 +20,7 @@
 import org.baykeel.gateway.budget.GrantTransfer;
 import org.baykeel.gateway.history.StoredTurn;
 import org.baykeel.gateway.peer.PeerAddress;
-import org.baykeel.gateway.peer.PeerDistance;
+import org.baykeel.gateway.peer.PeerLatency;
 import org.baykeel.gateway.program.ProgramId;
 import org.baykeel.gateway.remote.StoreCall;
 import org.baykeel.gateway.remote.StoreCaller;
@@ -38,7 +38,7 @@
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final LinkClient client = new LinkClient(group, PeerDistance.NONE, (event, fields) -> {});
+  private final LinkClient client = new LinkClient(group, PeerLatency.ZERO, (event, fields) -> {});
 
   @AfterEach
   void stop() {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/load/SimulatedRegion.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/load/SimulatedRegion.java
@@ -11,7 +11,7 @@
 import org.baykeel.gateway.directory.EngineRecord;
 import org.baykeel.gateway.peer.PeerAddress;
 import org.baykeel.gateway.peer.PeerDirectory;
-import org.baykeel.gateway.peer.PeerDistance;
+import org.baykeel.gateway.peer.PeerLatency;
 import org.baykeel.gateway.peer.PeerMessageCodec;
 import org.baykeel.gateway.peer.PeerMessageDispatcher;
 import org.baykeel.gateway.peer.PeerTransport;
@@ -83,7 +83,7 @@
                   reports.of(name).query(engine, answer);
                 }
               },
-              PeerDistance.NONE,
+              PeerLatency.ZERO,
               eventLoop,
               (event, fields) -> events.add(event));
       sharedLoad.register(metrics);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestEngineLoadNoticeCodec.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestEngineLoadNoticeCodec.java
@@ -48,8 +48,8 @@
             .mapToLong(entry -> EngineLoadNoticeCodec.entryBytes(entry.engineId()))
             .sum();
     assertEquals(
-        ByteBudget.onLink(codec.encode(notice).length),
-        EngineLoadNoticeCodec.emptyBytesOnLink() + entries);
+        ByteBudget.wireBytes(codec.encode(notice).length),
+        EngineLoadNoticeCodec.emptyWireBytes() + entries);
   }
 
   @Test
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestEngineSuspicionGossip.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestEngineSuspicionGossip.java
@@ -52,8 +52,8 @@
               codec,
               Topology.ofOneRegion("z"),
               (event, fields) -> {});
-      EngineSuspicionGossip gossip =
-          new EngineSuspicionGossip(
+      EngineSuspicionNotifier gossip =
+          new EngineSuspicionNotifier(
               engines, peers, transport, codec, eventLoop, (event, fields) -> {});
       engines.put(new EngineRecord(ENGINE.value(), "s", "10.0.0.9", 80, "z", 4, false));
       engines.onSuspicion(gossip);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestSharedRequestLimiter.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestSharedRequestLimiter.java
@@ -15,7 +15,7 @@
 import java.util.Random;
 import org.baykeel.gateway.peer.LimitTokenOutcome;
 import org.baykeel.gateway.peer.PeerAddress;
-import org.baykeel.gateway.peer.PeerDistance;
+import org.baykeel.gateway.peer.PeerLatency;
 import org.baykeel.gateway.peer.PeerMessage;
 import org.baykeel.gateway.peer.PeerMessage.LimitTokenReply;
 import org.baykeel.gateway.peer.PeerMessage.LimitTokenRequest;
@@ -84,7 +84,7 @@
             id -> id.equals(TENANT.id()) ? Optional.of(TENANT) : Optional.empty(),
             new ProofExchange(
                 OptionalLong::empty, new ConfigurationFreshness(eventLoop), clock, eventLoop),
-            PeerDistance.NONE,
+            PeerLatency.ZERO,
             address.hashCode() * 1_000L,
             new GatewayMetrics());
     nodes.put(address, limiter);
@@ -207,7 +207,7 @@
     older[6] = 1;
     LimitTokenReply read = (LimitTokenReply) codec.decode(older).orElseThrow();
     assertEquals(LimitUse.UNKNOWN, read.use());
-    assertEquals(3.5f, read.left());
+    assertEquals(3.5f, read.remaining());
     assertEquals(2, read.tokens());
   }
 
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedProgram.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedProgram.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import org.baykeel.gateway.buffering.CallerFlow;
-import org.baykeel.gateway.buffering.HeldBytes;
+import org.baykeel.gateway.buffering.HeldBytesLimiter;
 import org.baykeel.gateway.call.CallAttributes;
 import org.baykeel.gateway.call.CallRequest;
 import org.baykeel.gateway.call.CallResponder;
@@ -34,7 +34,8 @@
     private final String previous;
     private final StringBuilder output = new StringBuilder();
     private final CallerFlow flow =
-        new HeldBytes(HeldBytes.Bounds.DEFAULT, new TestingEventLoop()).open((a, b, c) -> {});
+        new HeldBytesLimiter(HeldBytesLimiter.Bounds.DEFAULT, new TestingEventLoop())
+            .open((a, b, c) -> {});
     private int events;
     private Refusal refusal;
     private boolean ended;
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TenancyNode.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TenancyNode.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import java.util.function.Consumer;
 import org.baykeel.gateway.peer.PeerAddress;
-import org.baykeel.gateway.peer.PeerDistance;
+import org.baykeel.gateway.peer.PeerLatency;
 import org.baykeel.gateway.peer.PeerMessageCodec;
 import org.baykeel.gateway.peer.PeerTransport;
 import org.baykeel.gateway.ratelimit.LimitBounds;
@@ -171,7 +171,7 @@
             LimitBounds.of(5, 0.1, 20),
             id -> directory.find(id),
             new ProofExchange(() -> version, freshness, clock, loop),
-            PeerDistance.NONE,
+            PeerLatency.ZERO,
             random.nextLong(),
             new GatewayMetrics());
     TableWatcher watcher =
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingResponder.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingResponder.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.baykeel.gateway.buffering.CallerFlow;
-import org.baykeel.gateway.buffering.HeldBytes;
+import org.baykeel.gateway.buffering.HeldBytesLimiter;
 import org.baykeel.gateway.call.CallResponder;
 import org.baykeel.gateway.call.Refusal;
 import org.baykeel.gateway.call.ResponseHead;
@@ -17,11 +17,11 @@
 
   /** A caller that reads all that it gets. */
   public TestingResponder() {
-    this(new HeldBytes(HeldBytes.Bounds.DEFAULT, new TestingEventLoop()));
+    this(new HeldBytesLimiter(HeldBytesLimiter.Bounds.DEFAULT, new TestingEventLoop()));
   }
 
   /** A caller for which is held what the test says. */
-  public TestingResponder(HeldBytes held) {
+  public TestingResponder(HeldBytesLimiter held) {
     flow = held.open((bytes, nodeBytes, unreadMillis) -> received.add("too slow"));
   }
 
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingTranslator.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingTranslator.java
@@ -11,7 +11,7 @@
 import org.baykeel.gateway.call.ResponseTraits;
 import org.baykeel.gateway.directory.Engine;
 import org.baykeel.gateway.http.CallTranslator;
-import org.baykeel.gateway.http.ConnectionFields;
+import org.baykeel.gateway.http.HopByHopHeaders;
 
 /** Header fields of a made-up deployment. */
 public final class TestingTranslator implements CallTranslator {
@@ -32,11 +32,11 @@
 
   @Override
   public HttpHeaders engineHeaders(EngineRequest request, Engine engine) {
-    return ConnectionFields.without(request.source().headers());
+    return HopByHopHeaders.copyWithout(request.source().headers());
   }
 
   @Override
-  public ResponseTraits traits(HttpResponse response) {
+  public ResponseTraits responseTraits(HttpResponse response) {
     HttpHeaders headers = response.headers();
     return new ResponseTraits(
         headers.get(ID),
@@ -46,7 +46,7 @@
   }
 
   @Override
-  public void describeRefusal(HttpHeaders headers, Refusal refusal, CallAttributes attributes) {
+  public void addRefusalHeaders(HttpHeaders headers, Refusal refusal, CallAttributes attributes) {
     if (refusal.retryAfterMillis() > 0) {
       headers.set("Retry-After", refusal.retryAfterMillis() / 1_000.0);
     }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/topology/TestTopology.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/topology/TestTopology.java
@@ -38,7 +38,7 @@
     roundTrips.observe("w1", 61, 5_000_000);
     assertEquals(61, roundTrips.millisTo("w1"));
     assertEquals(61, roundTrips.millisTo(Locality.OTHER_REGION));
-    assertEquals(Map.of(Locality.OTHER_REGION, 2L), roundTrips.agesMillis(7_000_000));
+    assertEquals(Map.of(Locality.OTHER_REGION, 2L), roundTrips.oldestAgesMillis(7_000_000));
   }
 
   @Test
