--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmissionLog.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmissionLog.java
@@ -2,19 +2,19 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.baykeel.gateway.telemetry.DecisionLog;
 import org.baykeel.gateway.telemetry.GatewayEvent;
+import org.baykeel.gateway.telemetry.GatewayLog;
 
 /** Tells of refusals and of changes of shares; of changes at most once a second for each kind. */
 final class AdmissionLog {
   private static final long SHORTEST_NANOS = 1_000_000_000L;
 
-  private final DecisionLog log;
+  private final GatewayLog log;
   private final Map<RouteAdmission, Told> toldByKind = new HashMap<>();
 
   private record Told(double share, long nanos) {}
 
-  AdmissionLog(DecisionLog log) {
+  AdmissionLog(GatewayLog log) {
     this.log = log;
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ProgramAdmission.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ProgramAdmission.java
@@ -5,7 +5,7 @@
 import java.util.random.RandomGenerator;
 import org.baykeel.gateway.directory.EngineDirectory;
 import org.baykeel.gateway.fairness.AdmissionShares;
-import org.baykeel.gateway.telemetry.DecisionLog;
+import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
  * Decides whether programs begin. One begins only if its end within its aim is predicted; nobody is
@@ -39,7 +39,7 @@
    * @param log takes a line for each change
    */
   public ProgramAdmission(
-      EngineDirectory engines, RandomGenerator random, AdmissionShares shares, DecisionLog log) {
+      EngineDirectory engines, RandomGenerator random, AdmissionShares shares, GatewayLog log) {
     this.engines = engines;
     this.random = random;
     this.shares = shares;
@@ -48,7 +48,7 @@
   }
 
   /** Creates an admission that gives everybody of a kind the same share. */
-  public ProgramAdmission(EngineDirectory engines, RandomGenerator random, DecisionLog log) {
+  public ProgramAdmission(EngineDirectory engines, RandomGenerator random, GatewayLog log) {
     this(engines, random, AdmissionShares.EVEN, log);
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallAuthorization.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallAuthorization.java
@@ -107,14 +107,14 @@
 
   private void onVerdict(KeyDecision verdict) {
     if (verdict instanceof KeyDecision.Accepted accepted) {
-      context.metrics().keyJudged("accepted");
+      context.metrics().keyChecked("accepted");
       takeOffLimit(accepted.tenant());
     } else if (verdict instanceof KeyDecision.Undecided undecided) {
-      context.metrics().keyJudged("undecided");
+      context.metrics().keyChecked("undecided");
       String detail = "configuration too old, proven_ms_ago=" + undecided.ageMillis();
       refuse(ErrorKind.NOT_READY, retryMillis(STALE_RETRY_MILLIS), detail);
     } else {
-      context.metrics().keyJudged("ruled_out");
+      context.metrics().keyChecked("ruled_out");
       refuse(ErrorKind.UNAUTHORIZED, 0, "no tenant holds key " + request.attributes().apiKey());
     }
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallRecord.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallRecord.java
@@ -7,15 +7,15 @@
 import org.baykeel.gateway.directory.PromptPart;
 import org.baykeel.gateway.runtime.EventLoop;
 import org.baykeel.gateway.scheduling.EngineSelector;
-import org.baykeel.gateway.telemetry.DecisionLog;
 import org.baykeel.gateway.telemetry.GatewayEvent;
+import org.baykeel.gateway.telemetry.GatewayLog;
 import org.baykeel.gateway.telemetry.GatewayMetrics;
 import org.baykeel.gateway.urgency.Urgency;
 
 /** What the log and the metrics tell of one call. */
 final class CallRecord {
   private final CallRequest request;
-  private final DecisionLog log;
+  private final GatewayLog log;
   private final GatewayMetrics metrics;
   private final EventLoop eventLoop;
   private final EnumMap<Wait, Long> beganNanos = new EnumMap<>(Wait.class);
@@ -61,7 +61,7 @@
     }
   }
 
-  CallRecord(CallRequest request, DecisionLog log, GatewayMetrics metrics, EventLoop eventLoop) {
+  CallRecord(CallRequest request, GatewayLog log, GatewayMetrics metrics, EventLoop eventLoop) {
     this.request = request;
     this.log = log;
     this.metrics = metrics;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GatewayContext.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GatewayContext.java
@@ -8,7 +8,7 @@
 import org.baykeel.gateway.scheduling.BackendSelector;
 import org.baykeel.gateway.scheduling.EngineSelector;
 import org.baykeel.gateway.storage.StoreHealth;
-import org.baykeel.gateway.telemetry.DecisionLog;
+import org.baykeel.gateway.telemetry.GatewayLog;
 import org.baykeel.gateway.telemetry.GatewayMetrics;
 import org.baykeel.gateway.tenancy.KeyAuthenticator;
 import org.baykeel.gateway.urgency.Urgency;
@@ -44,5 +44,5 @@
     Urgency urgency,
     EngineTransport transport,
     StoreHealth storeHealth,
-    DecisionLog log,
+    GatewayLog log,
     GatewayMetrics metrics) {}
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GatewayState.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GatewayState.java
@@ -12,8 +12,8 @@
 import org.baykeel.gateway.directory.EngineRestartListener;
 import org.baykeel.gateway.runtime.EventLoop;
 import org.baykeel.gateway.storage.StoreHealth;
-import org.baykeel.gateway.telemetry.DecisionLog;
 import org.baykeel.gateway.telemetry.GatewayEvent;
+import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
  * What a process believes: the newest configuration, the engines, whether it stops. The version of
@@ -31,14 +31,14 @@
   private final EventLoop eventLoop;
   private final StoreHealth storeHealth;
   private final EngineDirectory engines;
-  private final DecisionLog log;
+  private final GatewayLog log;
   private final EngineEntryFaults entryFaults = new EngineEntryFaults();
   private GatewayConfiguration configuration;
   private boolean enginesKnown;
   private boolean stopping;
 
   public GatewayState(
-      EventLoop eventLoop, StoreHealth storeHealth, EngineDirectory engines, DecisionLog log) {
+      EventLoop eventLoop, StoreHealth storeHealth, EngineDirectory engines, GatewayLog log) {
     this.eventLoop = eventLoop;
     this.storeHealth = storeHealth;
     this.engines = engines;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GracefulStop.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GracefulStop.java
@@ -1,8 +1,8 @@
 package org.baykeel.gateway.call;
 
 import org.baykeel.gateway.runtime.EventLoop;
-import org.baykeel.gateway.telemetry.DecisionLog;
 import org.baykeel.gateway.telemetry.GatewayEvent;
+import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
  * A planned stop: not ready at once, serving on until the entry has noticed, then no new
@@ -27,7 +27,7 @@
   private final EventLoop eventLoop;
   private final GatewayState state;
   private final CallerConnections callers;
-  private final DecisionLog log;
+  private final GatewayLog log;
   private final long graceMillis;
   private final Runnable end;
   private long startedNanos;
@@ -42,7 +42,7 @@
       EventLoop eventLoop,
       GatewayState state,
       CallerConnections callers,
-      DecisionLog log,
+      GatewayLog log,
       long graceMillis,
       Runnable end) {
     this.eventLoop = eventLoop;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ProgramStart.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ProgramStart.java
@@ -108,7 +108,7 @@
     if (judgement.admitted()) {
       begin(admitted);
     } else {
-      context.metrics().programJudged(judgement.cause().name().toLowerCase(Locale.ROOT));
+      context.metrics().admissionDecided(judgement.cause().name().toLowerCase(Locale.ROOT));
       refused.accept(
           new Refusal(ErrorKind.OVERLOADED, judgement.retryMillis(), judgement.cause().phrase()));
     }
@@ -127,7 +127,7 @@
 
   /** The program turned out to be a new one. */
   void opened() {
-    context.metrics().programJudged("admitted");
+    context.metrics().admissionDecided("admitted");
     admission.programOpened(route.name(), attributes.finishMillis(), now());
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/cordon/ZoneCordons.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/cordon/ZoneCordons.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.Set;
 import org.baykeel.gateway.runtime.EventLoop;
-import org.baykeel.gateway.telemetry.DecisionLog;
 import org.baykeel.gateway.telemetry.GatewayEvent;
+import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
  * The zones to whose engines nothing more is to be sent. New work stays away from the moment at
@@ -28,7 +28,7 @@
 
   private final long leaveNanos;
   private final EventLoop eventLoop;
-  private final DecisionLog log;
+  private final GatewayLog log;
   private final Map<String, Cordon> cordons = new HashMap<>();
   private final Map<String, Long> liftedNanos = new HashMap<>();
   private boolean everProven;
@@ -48,7 +48,7 @@
    *
    * @param boundMillis within which nothing more may reach the engines of a zone
    */
-  public ZoneCordons(long boundMillis, EventLoop eventLoop, DecisionLog log) {
+  public ZoneCordons(long boundMillis, EventLoop eventLoop, GatewayLog log) {
     this.leaveNanos = Math.round(boundMillis * 1e6 * PART_OF_BOUND);
     this.eventLoop = eventLoop;
     this.log = log;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/FairShares.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/FairShares.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import org.baykeel.gateway.runtime.EventLoop;
-import org.baykeel.gateway.telemetry.DecisionLog;
+import org.baykeel.gateway.telemetry.GatewayLog;
 import org.baykeel.gateway.telemetry.GatewayMetrics;
 import org.baykeel.gateway.tenancy.LimitUse;
 
@@ -19,11 +19,11 @@
  */
 public final class FairShares implements AdmissionShares {
   private final EventLoop eventLoop;
-  private final DecisionLog log;
+  private final GatewayLog log;
   private final Map<String, GroupShares> groups = new HashMap<>();
 
   /** Creates shares that have seen nobody. */
-  public FairShares(EventLoop eventLoop, DecisionLog log, GatewayMetrics metrics) {
+  public FairShares(EventLoop eventLoop, GatewayLog log, GatewayMetrics metrics) {
     this.eventLoop = eventLoop;
     this.log = log;
     metrics.gauge(
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/GroupShares.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/GroupShares.java
@@ -2,8 +2,8 @@
 
 import java.util.function.Predicate;
 import org.baykeel.gateway.runtime.EventLoop;
-import org.baykeel.gateway.telemetry.DecisionLog;
 import org.baykeel.gateway.telemetry.GatewayEvent;
+import org.baykeel.gateway.telemetry.GatewayLog;
 import org.baykeel.gateway.tenancy.LimitUse;
 
 /**
@@ -32,7 +32,7 @@
 
   private final String group;
   private final EventLoop eventLoop;
-  private final DecisionLog log;
+  private final GatewayLog log;
   private final LimitUseSamples uses = new LimitUseSamples();
   private double share = 1;
   private double level = Double.POSITIVE_INFINITY;
@@ -44,7 +44,7 @@
    *
    * @param group names it in the log
    */
-  GroupShares(String group, EventLoop eventLoop, DecisionLog log) {
+  GroupShares(String group, EventLoop eventLoop, GatewayLog log) {
     this.group = group;
     this.eventLoop = eventLoop;
     this.log = log;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/handover/HandoverClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/handover/HandoverClient.java
@@ -8,14 +8,14 @@
 import org.baykeel.gateway.history.StoredTurn;
 import org.baykeel.gateway.history.TurnSource;
 import org.baykeel.gateway.program.ProgramId;
-import org.baykeel.gateway.telemetry.DecisionLog;
 import org.baykeel.gateway.telemetry.GatewayEvent;
+import org.baykeel.gateway.telemetry.GatewayLog;
 
 /** Gets a program's state from the node that served it last. */
 public final class HandoverClient implements GrantSource, TurnSource {
   private final HolderDirectory holders;
   private final HandoverTransport transport;
-  private final DecisionLog log;
+  private final GatewayLog log;
 
   /**
    * Creates a client.
@@ -23,7 +23,7 @@
    * @param holders knows who served a program last
    * @param transport asks that node
    */
-  public HandoverClient(HolderDirectory holders, HandoverTransport transport, DecisionLog log) {
+  public HandoverClient(HolderDirectory holders, HandoverTransport transport, GatewayLog log) {
     this.holders = holders;
     this.transport = transport;
     this.log = log;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/HttpLoadReportClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/HttpLoadReportClient.java
@@ -16,7 +16,7 @@
 import org.baykeel.gateway.load.LoadReportFormat;
 import org.baykeel.gateway.remote.StoreCall;
 import org.baykeel.gateway.remote.StoreReply;
-import org.baykeel.gateway.telemetry.DecisionLog;
+import org.baykeel.gateway.telemetry.GatewayLog;
 import org.baykeel.gateway.telemetry.GatewayMetrics;
 import org.baykeel.gateway.topology.RoundTrips;
 
@@ -43,7 +43,7 @@
   private final LoadReportFormat format;
   private final RoundTrips roundTrips;
   private final GatewayMetrics metrics;
-  private final DecisionLog log;
+  private final GatewayLog log;
   private final Map<String, Asked> askedById = new HashMap<>();
 
   /** An engine that is asked. */
@@ -75,7 +75,7 @@
       LoadReportFormat format,
       RoundTrips roundTrips,
       GatewayMetrics metrics,
-      DecisionLog log) {
+      GatewayLog log) {
     this.group = group;
     this.format = format;
     this.roundTrips = roundTrips;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/IngressConnection.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/IngressConnection.java
@@ -40,8 +40,8 @@
 import org.baykeel.gateway.call.Refusal;
 import org.baykeel.gateway.call.ResponseHead;
 import org.baykeel.gateway.configuration.RequestLimits;
-import org.baykeel.gateway.telemetry.DecisionLog;
 import org.baykeel.gateway.telemetry.GatewayEvent;
+import org.baykeel.gateway.telemetry.GatewayLog;
 
 /** A caller's connection: reads one request at a time and writes its answer. */
 final class IngressConnection extends ChannelInboundHandlerAdapter implements CallResponder {
@@ -56,7 +56,7 @@
   private final CallCoordinator coordinator;
   private final CallTranslator translator;
   private final GatewayState state;
-  private final DecisionLog log;
+  private final GatewayLog log;
   private final CallerFlow flow;
   private final ArrayDeque<HttpObject> queued = new ArrayDeque<>();
   private ChannelHandlerContext context;
@@ -74,7 +74,7 @@
       CallCoordinator coordinator,
       CallTranslator translator,
       GatewayState state,
-      DecisionLog log) {
+      GatewayLog log) {
     this.server = server;
     this.coordinator = coordinator;
     this.translator = translator;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/IngressServer.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/IngressServer.java
@@ -21,7 +21,7 @@
 import org.baykeel.gateway.call.GracefulStop;
 import org.baykeel.gateway.configuration.GatewayConfiguration;
 import org.baykeel.gateway.configuration.RequestLimits;
-import org.baykeel.gateway.telemetry.DecisionLog;
+import org.baykeel.gateway.telemetry.GatewayLog;
 
 /** Accepts callers' connections and closes those that rest or stall for too long. */
 public final class IngressServer implements GracefulStop.CallerConnections {
@@ -36,7 +36,7 @@
   private final CallTranslator translator;
   private final GatewayState state;
   private final HeldBytesLimiter held;
-  private final DecisionLog log;
+  private final GatewayLog log;
   private final Set<IngressConnection> connections = new LinkedHashSet<>();
   private Channel listener;
 
@@ -50,7 +50,7 @@
       CallTranslator translator,
       GatewayState state,
       HeldBytesLimiter held,
-      DecisionLog log) {
+      GatewayLog log) {
     this.coordinator = coordinator;
     this.translator = translator;
     this.state = state;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/NettyEngineTransport.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/NettyEngineTransport.java
@@ -18,8 +18,8 @@
 import org.baykeel.gateway.call.EngineRequest;
 import org.baykeel.gateway.call.EngineTransport;
 import org.baykeel.gateway.directory.Engine;
-import org.baykeel.gateway.telemetry.DecisionLog;
 import org.baykeel.gateway.telemetry.GatewayEvent;
+import org.baykeel.gateway.telemetry.GatewayLog;
 import org.baykeel.gateway.telemetry.GatewayMetrics;
 import org.baykeel.gateway.topology.RoundTrips;
 
@@ -33,7 +33,7 @@
   private final CallTranslator translator;
   private final GatewayMetrics metrics;
   private final RoundTrips roundTrips;
-  private final DecisionLog log;
+  private final GatewayLog log;
 
   /** By life of an engine: no request to a later life goes over a connection to a former one. */
   private final Map<Engine, EngineConnectionPool> byEngine = new IdentityHashMap<>();
@@ -49,7 +49,7 @@
       CallTranslator translator,
       GatewayMetrics metrics,
       RoundTrips roundTrips,
-      DecisionLog log) {
+      GatewayLog log) {
     this.group = group;
     this.translator = translator;
     this.metrics = metrics;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/NettyLogging.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/NettyLogging.java
@@ -5,17 +5,17 @@
 import io.netty.util.internal.logging.InternalLogger;
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.MessageFormatter;
-import org.baykeel.gateway.telemetry.DecisionLog;
 import org.baykeel.gateway.telemetry.GatewayEvent;
+import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
  * Netty's warnings and errors as events of the gateway. The logging of the JDK, which Netty would
  * use otherwise, prints beside the node's log and in another form.
  */
 public final class NettyLogging extends InternalLoggerFactory {
-  private final DecisionLog log;
+  private final GatewayLog log;
 
-  private NettyLogging(DecisionLog log) {
+  private NettyLogging(GatewayLog log) {
     this.log = log;
   }
 
@@ -24,7 +24,7 @@
    *
    * @param log takes warnings and errors; the rest is left out
    */
-  public static void install(DecisionLog log) {
+  public static void install(GatewayLog log) {
     setDefaultFactory(new NettyLogging(log));
   }
 
@@ -37,9 +37,9 @@
   private static final class Logger extends AbstractInternalLogger {
     private static final long serialVersionUID = 1L;
 
-    private final transient DecisionLog log;
+    private final transient GatewayLog log;
 
-    Logger(String name, DecisionLog log) {
+    Logger(String name, GatewayLog log) {
       super(name);
       this.log = log;
     }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/PooledHttpClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/PooledHttpClient.java
@@ -24,13 +24,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.baykeel.gateway.remote.StoreCall;
-import org.baykeel.gateway.remote.StoreCaller;
+import org.baykeel.gateway.remote.StoreClient;
 import org.baykeel.gateway.remote.StoreReply;
-import org.baykeel.gateway.telemetry.DecisionLog;
 import org.baykeel.gateway.telemetry.GatewayEvent;
+import org.baykeel.gateway.telemetry.GatewayLog;
 
 /** Makes HTTP calls to one address over kept connections, one call at a time on each. */
-public final class PooledHttpClient implements StoreCaller {
+public final class PooledHttpClient implements StoreClient {
   private static final int CONNECT_TIMEOUT_MILLIS = 400;
   private static final int MAX_ANSWER_BYTES = 16 << 20;
   private static final int MAX_IDLE = 8;
@@ -40,7 +40,7 @@
   private final InetSocketAddress address;
   private final String kind;
   private final Runnable onConnect;
-  private final DecisionLog log;
+  private final GatewayLog log;
   private final ArrayDeque<Connection> idle = new ArrayDeque<>();
 
   /**
@@ -49,7 +49,7 @@
    * @param group the event loop
    * @param address the only address that it calls
    */
-  public PooledHttpClient(EventLoopGroup group, InetSocketAddress address, DecisionLog log) {
+  public PooledHttpClient(EventLoopGroup group, InetSocketAddress address, GatewayLog log) {
     this(group, address, "store", () -> {}, log);
   }
 
@@ -64,7 +64,7 @@
       InetSocketAddress address,
       String kind,
       Runnable onConnect,
-      DecisionLog log) {
+      GatewayLog log) {
     this.group = group;
     this.address = address;
     this.kind = kind;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkClient.java
@@ -24,8 +24,8 @@
 import org.baykeel.gateway.remote.RelayTransport;
 import org.baykeel.gateway.remote.StoreCall;
 import org.baykeel.gateway.remote.StoreReply;
-import org.baykeel.gateway.telemetry.DecisionLog;
 import org.baykeel.gateway.telemetry.GatewayEvent;
+import org.baykeel.gateway.telemetry.GatewayLog;
 
 /** Asks other nodes, over one connection to each that was asked lately. */
 public final class LinkClient implements RelayTransport, HandoverTransport {
@@ -47,7 +47,7 @@
 
   private final EventLoopGroup group;
   private final PeerLatency distance;
-  private final DecisionLog log;
+  private final GatewayLog log;
   private final Map<PeerAddress, Link> links = new HashMap<>();
 
   /**
@@ -56,7 +56,7 @@
    * @param group the event loop
    * @param distance how far other nodes are
    */
-  public LinkClient(EventLoopGroup group, PeerLatency distance, DecisionLog log) {
+  public LinkClient(EventLoopGroup group, PeerLatency distance, GatewayLog log) {
     this.group = group;
     this.distance = distance;
     this.log = log;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LocalLinkServices.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LocalLinkServices.java
@@ -8,18 +8,18 @@
 import org.baykeel.gateway.history.StoredTurn;
 import org.baykeel.gateway.history.TurnHistory;
 import org.baykeel.gateway.program.ProgramId;
-import org.baykeel.gateway.remote.FailoverStoreCaller;
+import org.baykeel.gateway.remote.FailoverStoreClient;
 import org.baykeel.gateway.remote.StoreCall;
 import org.baykeel.gateway.remote.StoreReply;
 
 /** What this process does for others, from its own state. */
 public final class LocalLinkServices implements LinkServices {
-  private final FailoverStoreCaller store;
+  private final FailoverStoreClient store;
   private final ProgramBudgets budgets;
   private final TurnHistory history;
 
   /** Creates services on this process's state. */
-  public LocalLinkServices(FailoverStoreCaller store, ProgramBudgets budgets, TurnHistory history) {
+  public LocalLinkServices(FailoverStoreClient store, ProgramBudgets budgets, TurnHistory history) {
     this.store = store;
     this.budgets = budgets;
     this.history = history;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReporter.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReporter.java
@@ -11,8 +11,8 @@
 import org.baykeel.gateway.peer.PeerDirectory;
 import org.baykeel.gateway.peer.RendezvousOrder;
 import org.baykeel.gateway.runtime.EventLoop;
-import org.baykeel.gateway.telemetry.DecisionLog;
 import org.baykeel.gateway.telemetry.GatewayEvent;
+import org.baykeel.gateway.telemetry.GatewayLog;
 import org.baykeel.gateway.topology.Topology;
 
 /** Asks the engines whose turn it is at this node for their load, and has the answers told. */
@@ -37,7 +37,7 @@
   private final LoadNoticePublisher notices;
   private final EventLoopLag stall;
   private final EventLoop eventLoop;
-  private final DecisionLog log;
+  private final GatewayLog log;
   private final Map<EngineLoadView, LoadQuerySchedule> turns = new HashMap<>();
   private long ticks;
   private int linesLeft = LINES_PER_SECOND;
@@ -52,7 +52,7 @@
       LoadNoticePublisher notices,
       EventLoopLag stall,
       EventLoop eventLoop,
-      DecisionLog log) {
+      GatewayLog log) {
     this.engines = engines;
     this.peers = peers;
     this.order = order;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadSharing.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadSharing.java
@@ -13,7 +13,7 @@
 import org.baykeel.gateway.peer.PeerTransport;
 import org.baykeel.gateway.peer.RendezvousOrder;
 import org.baykeel.gateway.runtime.EventLoop;
-import org.baykeel.gateway.telemetry.DecisionLog;
+import org.baykeel.gateway.telemetry.GatewayLog;
 import org.baykeel.gateway.telemetry.GatewayMetrics;
 import org.baykeel.gateway.topology.Topology;
 
@@ -45,7 +45,7 @@
       LoadReportClient reports,
       PeerLatency distance,
       EventLoop eventLoop,
-      DecisionLog log) {
+      GatewayLog log) {
     this.engines = engines;
     this.eventLoop = eventLoop;
     RendezvousOrder order = new RendezvousOrder(self, peers::peersInRegion);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineSuspicionNotifier.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineSuspicionNotifier.java
@@ -5,8 +5,8 @@
 import org.baykeel.gateway.directory.EngineId;
 import org.baykeel.gateway.directory.EngineSuspicionListener;
 import org.baykeel.gateway.runtime.EventLoop;
-import org.baykeel.gateway.telemetry.DecisionLog;
 import org.baykeel.gateway.telemetry.GatewayEvent;
+import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
  * Tells the other nodes when an engine becomes suspect, so that not every node loses requests
@@ -22,7 +22,7 @@
   private final PeerTransport transport;
   private final PeerMessageCodec codec;
   private final EventLoop eventLoop;
-  private final DecisionLog log;
+  private final GatewayLog log;
   private final ByteBudget budget;
 
   /** Creates a gossip that has to be told of suspicions and given datagrams. */
@@ -32,7 +32,7 @@
       PeerTransport transport,
       PeerMessageCodec codec,
       EventLoop eventLoop,
-      DecisionLog log) {
+      GatewayLog log) {
     this.engines = engines;
     this.peers = peers;
     this.transport = transport;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerDirectory.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerDirectory.java
@@ -17,8 +17,8 @@
 import org.baykeel.gateway.storage.StoredRow;
 import org.baykeel.gateway.storage.Transaction;
 import org.baykeel.gateway.storage.TransactionOutcome;
-import org.baykeel.gateway.telemetry.DecisionLog;
 import org.baykeel.gateway.telemetry.GatewayEvent;
+import org.baykeel.gateway.telemetry.GatewayLog;
 import org.baykeel.gateway.topology.Locality;
 import org.baykeel.gateway.topology.Topology;
 
@@ -52,7 +52,7 @@
   private final PeerTransport transport;
   private final PeerMessageCodec codec;
   private final Topology topology;
-  private final DecisionLog log;
+  private final GatewayLog log;
   private final Map<PeerAddress, String> zoneByPeer = new LinkedHashMap<>();
   private final Set<PeerAddress> peersInRegion = new LinkedHashSet<>();
   private long ownRowVersion = Transaction.ABSENT;
@@ -73,7 +73,7 @@
       PeerTransport transport,
       PeerMessageCodec codec,
       Topology topology,
-      DecisionLog log) {
+      GatewayLog log) {
     this.ownRow = new RowAddress(TABLE, "", nodeName);
     this.ownAddress = ownAddress;
     this.store = store;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/placement/Placement.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/placement/Placement.java
@@ -16,7 +16,7 @@
 import org.baykeel.gateway.scheduling.EngineSelector;
 import org.baykeel.gateway.scheduling.MemoryPolicy;
 import org.baykeel.gateway.scheduling.SlowHomePolicy;
-import org.baykeel.gateway.telemetry.DecisionLog;
+import org.baykeel.gateway.telemetry.GatewayLog;
 import org.baykeel.gateway.telemetry.GatewayMetrics;
 import org.baykeel.gateway.topology.Locality;
 import org.baykeel.gateway.topology.RoundTrips;
@@ -51,7 +51,7 @@
       EventLoop eventLoop,
       RandomGenerator random,
       GatewayMetrics metrics,
-      DecisionLog log) {
+      GatewayLog log) {
     this.topology = topology;
     this.roundTrips = new RoundTrips(topology);
     this.cordons = new ZoneCordons(bounds.cordonMillis(), eventLoop, log);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionLeases.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionLeases.java
@@ -14,8 +14,8 @@
 import org.baykeel.gateway.storage.StoredRow;
 import org.baykeel.gateway.storage.Transaction;
 import org.baykeel.gateway.storage.TransactionOutcome;
-import org.baykeel.gateway.telemetry.DecisionLog;
 import org.baykeel.gateway.telemetry.GatewayEvent;
+import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
  * Which node holds the lease of each partition; takes, renews and gives back leases of this node.
@@ -64,7 +64,7 @@
   private final StoreClock clock;
   private final EventLoop eventLoop;
   private final ToIntFunction<LimitPartition> rank;
-  private final DecisionLog log;
+  private final GatewayLog log;
   private final Map<LimitPartition, Partition> partitions = new LinkedHashMap<>();
   private boolean refreshing;
   private boolean refreshed;
@@ -114,7 +114,7 @@
       EventLoop eventLoop,
       long life,
       ToIntFunction<LimitPartition> rank,
-      DecisionLog log) {
+      GatewayLog log) {
     this.self = self;
     this.store = store;
     this.clock = clock;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/DirectPath.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/DirectPathHealth.java
@@ -1,7 +1,7 @@
 package org.baykeel.gateway.remote;
 
 /** What this node knows about its own way to the store, from the outcomes of its calls. */
-final class DirectPath {
+final class DirectPathHealth {
   /** Consecutive failures after which the way counts as broken. */
   private static final int FAILURES_UNTIL_BROKEN = 2;
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/FailoverStoreCaller.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/FailoverStoreClient.java
@@ -6,8 +6,8 @@
 import java.util.random.RandomGenerator;
 import org.baykeel.gateway.peer.PeerAddress;
 import org.baykeel.gateway.runtime.EventLoop;
-import org.baykeel.gateway.telemetry.DecisionLog;
 import org.baykeel.gateway.telemetry.GatewayEvent;
+import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
  * Calls the store directly while that works, through another node while only this node is cut off,
@@ -16,7 +16,7 @@
  * <p>Invariant: a call is reported as not sent or as turned away only if no copy of it can have
  * been done. A call may be made twice, so a change must carry a condition that its own copy breaks.
  */
-public final class FailoverStoreCaller implements StoreCaller {
+public final class FailoverStoreClient implements StoreClient {
   /** Nodes that may be asked to relay one call. */
   private static final int MAX_RELAYS = 2;
 
@@ -26,13 +26,13 @@
   /** A relayed call takes two ways; it is overdue later than a direct one. */
   private static final int RELAY_OVERDUE_FACTOR = 2;
 
-  private final StoreCaller direct;
+  private final StoreClient direct;
   private final RelayTransport relays;
-  private final RelayPeers relayPeers;
+  private final RelaySelector relayPeers;
   private final StoreCall probe;
   private final EventLoop eventLoop;
-  private final DecisionLog log;
-  private final DirectPath directPath = new DirectPath();
+  private final GatewayLog log;
+  private final DirectPathHealth directPath = new DirectPathHealth();
   private Runnable onDirectPathBack = () -> {};
   private boolean probing;
 
@@ -45,17 +45,17 @@
    * @param probe a cheap read
    * @param random picks relays
    */
-  public FailoverStoreCaller(
-      StoreCaller direct,
+  public FailoverStoreClient(
+      StoreClient direct,
       RelayTransport relays,
       RelayCandidates candidates,
       StoreCall probe,
       EventLoop eventLoop,
       RandomGenerator random,
-      DecisionLog log) {
+      GatewayLog log) {
     this.direct = direct;
     this.relays = relays;
-    this.relayPeers = new RelayPeers(candidates, random);
+    this.relayPeers = new RelaySelector(candidates, random);
     this.probe = probe;
     this.eventLoop = eventLoop;
     this.log = log;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RegionalRelays.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RegionalRelayCandidates.java
@@ -11,7 +11,7 @@
  * Nodes of the own region relay first. Where something may be bound to regions, calls, which carry
  * kept turns, pass no node of another one.
  */
-public final class RegionalRelays implements RelayCandidates {
+public final class RegionalRelayCandidates implements RelayCandidates {
   private final Supplier<PeerDirectory> peers;
   private final Supplier<GatewayConfiguration> configuration;
 
@@ -21,7 +21,7 @@
    * @param peers the nodes known; asked when the first call is relayed
    * @param configuration the configuration in force, or null if none is known
    */
-  public RegionalRelays(
+  public RegionalRelayCandidates(
       Supplier<PeerDirectory> peers, Supplier<GatewayConfiguration> configuration) {
     this.peers = peers;
     this.configuration = configuration;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RelayPeers.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RelaySelector.java
@@ -11,7 +11,7 @@
  * another is picked at random, one of this node's region while there is any. After several failures
  * in a row, no node is asked for a while, since the store is probably away for all.
  */
-final class RelayPeers {
+final class RelaySelector {
   /** Consecutive failures after which no node is asked for a while. */
   private static final int FAILURES_UNTIL_PAUSE = 3;
 
@@ -23,7 +23,7 @@
   private int consecutiveFailures;
   private long pausedUntilNanos;
 
-  RelayPeers(RelayCandidates known, RandomGenerator random) {
+  RelaySelector(RelayCandidates known, RandomGenerator random) {
     this.known = known;
     this.random = random;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/StoreCaller.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/StoreClient.java
@@ -4,7 +4,7 @@
 
 /** A way to the store's service. */
 @FunctionalInterface
-public interface StoreCaller {
+public interface StoreClient {
 
   /**
    * Makes a call.
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/SlowHomePolicy.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/SlowHomePolicy.java
@@ -5,8 +5,8 @@
 import org.baykeel.gateway.directory.Engine;
 import org.baykeel.gateway.directory.PromptPart;
 import org.baykeel.gateway.directory.ServicePerformance;
-import org.baykeel.gateway.telemetry.DecisionLog;
 import org.baykeel.gateway.telemetry.GatewayEvent;
+import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
  * Takes the programs of a slow engine to their next home, and back.
@@ -34,7 +34,7 @@
   /** More engines than are slow at a time; those that were left first are forgotten first. */
   private static final int MAX_ENGINES = 4_096;
 
-  private final DecisionLog log;
+  private final GatewayLog log;
   private final Map<String, LeftHome> homes =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
@@ -54,7 +54,7 @@
   }
 
   /** Creates a policy by which no engine is left yet. */
-  public SlowHomePolicy(DecisionLog log) {
+  public SlowHomePolicy(GatewayLog log) {
     this.log = log;
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/TableWatcher.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/TableWatcher.java
@@ -20,7 +20,7 @@
   /** What a watcher does after a question to the feed has failed. */
   public enum Recovery {
     /** It goes on from the last version that it knows. */
-    FOLLOW,
+    RESUME,
     /**
      * It reads the table again before it tells that all changes are known: a feed that has just
      * recovered may be silent for a while about changes that were made before.
@@ -42,7 +42,7 @@
      *
      * @param nanos the moment, of this process's clock
      */
-    default void onComplete(long nanos) {}
+    default void onCaughtUp(long nanos) {}
   }
 
   private final String table;
@@ -135,7 +135,7 @@
    * Asks the feed at once for what it has, beside the question that waits for changes; does nothing
    * while such a question is under way or the table has not been read.
    */
-  public void check() {
+  public void poll() {
     if (checking || !hasSnapshot || gap) {
       return;
     }
@@ -165,7 +165,7 @@
       listener.onChanges(changes.rows());
     }
     if (!changes.more() && !gap) {
-      listener.onComplete(changes.asOfNanos());
+      listener.onCaughtUp(changes.asOfNanos());
     }
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/LineWriter.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/AsyncGatewayLog.java
@@ -13,7 +13,7 @@
  * line. When its queue is full, lines are dropped and counted; the count is written once there is
  * room.
  */
-public final class LineWriter implements DecisionLog, AutoCloseable {
+public final class AsyncGatewayLog implements GatewayLog, AutoCloseable {
   private static final int QUEUE_LINES = 2_048;
   private static final long FLUSH_MILLIS = 250;
   private static final long IDLE_MILLIS = 1_000;
@@ -26,7 +26,7 @@
   private final Thread thread;
   private volatile boolean closed;
 
-  public LineWriter(String node, OutputStream out) {
+  public AsyncGatewayLog(String node, OutputStream out) {
     this.node = node;
     this.out = out;
     this.thread = new Thread(this::run, "log");
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/DecisionLog.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/GatewayLog.java
@@ -1,7 +1,7 @@
 package org.baykeel.gateway.telemetry;
 
 /** Takes structured lines; never blocks. */
-public interface DecisionLog {
+public interface GatewayLog {
 
   /**
    * Writes one line.
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/GatewayMetrics.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/GatewayMetrics.java
@@ -125,7 +125,7 @@
    *
    * @param verdict one of a few words
    */
-  public void keyJudged(String verdict) {
+  public void keyChecked(String verdict) {
     keyVerdicts.computeIfAbsent(verdict, key -> new long[1])[0]++;
   }
 
@@ -134,7 +134,7 @@
    *
    * @param outcome one of a few words
    */
-  public void programJudged(String outcome) {
+  public void admissionDecided(String outcome) {
     programs.computeIfAbsent(outcome, key -> new long[1])[0]++;
   }
 
@@ -155,7 +155,7 @@
   }
 
   /** Writes what was used since the last such line, if anything was. */
-  public void reportUsage(DecisionLog log) {
+  public void reportUsage(GatewayLog log) {
     if (storeCallsToReport.isEmpty() && engineConnectionsToReport == 0) {
       return;
     }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/BeliefLog.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/NodeStatusLog.java
@@ -4,8 +4,8 @@
 import java.util.function.LongSupplier;
 
 /** Writes a line whenever a process comes to believe something else about itself or its store. */
-public final class BeliefLog {
-  private final DecisionLog log;
+public final class NodeStatusLog {
+  private final GatewayLog log;
   private final BooleanSupplier recent;
   private final LongSupplier proofAgeMillis;
   private final BooleanSupplier ready;
@@ -22,8 +22,8 @@
    * @param ready whether new callers should come here
    * @param storeReachable whether the store answers
    */
-  public BeliefLog(
-      DecisionLog log,
+  public NodeStatusLog(
+      GatewayLog log,
       BooleanSupplier recent,
       LongSupplier proofAgeMillis,
       BooleanSupplier ready,
@@ -36,7 +36,7 @@
   }
 
   /** Compares with what was believed before. */
-  public void compare() {
+  public void logChanges() {
     if (recent.getAsBoolean() != wasRecent) {
       wasRecent = !wasRecent;
       log.write(
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/warmup/WarmupPolicy.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/warmup/WarmupPolicy.java
@@ -13,8 +13,8 @@
 import org.baykeel.gateway.scheduling.EnginePolicy;
 import org.baykeel.gateway.scheduling.EngineSelector.Criteria;
 import org.baykeel.gateway.scheduling.StableHash;
-import org.baykeel.gateway.telemetry.DecisionLog;
 import org.baykeel.gateway.telemetry.GatewayEvent;
+import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
  * Spares engines that are cold. While a warm engine takes work, a cold one gets nothing. Where all
@@ -43,7 +43,7 @@
   private final ZoneCordons cordons;
   private final PeerAddress self;
   private final Supplier<Optional<Collection<PeerAddress>>> peers;
-  private final DecisionLog log;
+  private final GatewayLog log;
   private final Map<String, ColdEngine> coldEngines =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
@@ -79,7 +79,7 @@
       ZoneCordons cordons,
       PeerAddress self,
       Supplier<Optional<Collection<PeerAddress>>> peers,
-      DecisionLog log) {
+      GatewayLog log) {
     this.bounds = bounds;
     this.services = services;
     this.cordons = cordons;
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLink.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLink.java
@@ -23,7 +23,7 @@
 import org.baykeel.gateway.peer.PeerLatency;
 import org.baykeel.gateway.program.ProgramId;
 import org.baykeel.gateway.remote.StoreCall;
-import org.baykeel.gateway.remote.StoreCaller;
+import org.baykeel.gateway.remote.StoreClient;
 import org.baykeel.gateway.remote.StoreReply;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -46,7 +46,7 @@
   }
 
   /** What a node does for others: it calls the store, and has one program and one turn. */
-  private static LinkServices services(StoreCaller store) {
+  private static LinkServices services(StoreClient store) {
     return new LinkServices() {
       @Override
       public void callStore(StoreCall call, Consumer<StoreReply> answer) {
@@ -65,7 +65,7 @@
     };
   }
 
-  private PeerAddress serve(StoreCaller store) {
+  private PeerAddress serve(StoreClient store) {
     ChannelFuture bound =
         new LinkServer(services(store)).listen(group, new InetSocketAddress(LOOPBACK, 0));
     bound.syncUninterruptibly();
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/remote/TestFailoverStoreCaller.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/remote/TestFailoverStoreCaller.java
@@ -47,8 +47,8 @@
           return far;
         }
       };
-  private final FailoverStoreCaller caller =
-      new FailoverStoreCaller(
+  private final FailoverStoreClient caller =
+      new FailoverStoreClient(
           direct,
           (peer, call, answer) -> scripts.get(peer).call(call, answer),
           candidates,
@@ -97,7 +97,7 @@
   }
 
   /** A way that counts the calls it gets. */
-  private final class Script implements StoreCaller {
+  private final class Script implements StoreClient {
     private Way way = Way.SERVES;
     private int calls;
 
@@ -308,12 +308,12 @@
   void aSlowStoreIsNotAskedTwiceForEveryCall() {
     knowPeer(FIRST_PEER, Way.SERVES);
     int slowMillis = 240;
-    StoreCaller slow =
+    StoreClient slow =
         (call, answer) ->
             eventLoop.schedule(
                 slowMillis, () -> answer.accept(new StoreReply.Answered(200, new byte[0])));
-    FailoverStoreCaller patient =
-        new FailoverStoreCaller(
+    FailoverStoreClient patient =
+        new FailoverStoreClient(
             slow,
             (peer, call, answer) -> {
               scripts.get(peer).calls++;
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TenancyNode.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TenancyNode.java
@@ -183,7 +183,7 @@
             TableWatcher.Recovery.REREAD,
             (task, millis) -> loop.schedule(millis, task),
             new Configuration(catalogue));
-    freshness.setCheck(watcher::check);
+    freshness.setCheck(watcher::poll);
     watcher.start();
     limiter.start();
   }
@@ -215,7 +215,7 @@
     }
 
     @Override
-    public void onComplete(long nanos) {
+    public void onCaughtUp(long nanos) {
       freshness.recordProof(nanos);
     }
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/storage/TestTableWatcher.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/storage/TestTableWatcher.java
@@ -19,7 +19,7 @@
   private final TableWatcher watcher = watcher(0);
 
   private TableWatcher watcher(long pauseMillis) {
-    return watcher(pauseMillis, TableWatcher.Recovery.FOLLOW);
+    return watcher(pauseMillis, TableWatcher.Recovery.RESUME);
   }
 
   private TableWatcher watcher(long pauseMillis, TableWatcher.Recovery recovery) {
@@ -42,7 +42,7 @@
           }
 
           @Override
-          public void onComplete(long nanos) {
+          public void onCaughtUp(long nanos) {
             complete.add(nanos);
           }
         });
@@ -111,10 +111,10 @@
     watcher.start();
     assertEquals(List.of(), complete);
     store.answers.add(rows(6, true, "b"));
-    watcher.check();
+    watcher.poll();
     assertEquals(List.of(), complete);
     store.answers.add(rows(7, false));
-    watcher.check();
+    watcher.poll();
     assertEquals(List.of(7L), complete);
     assertEquals(List.of("snapshot [a]", "changes [b]"), heard);
   }
@@ -122,10 +122,10 @@
   @Test
   void oneCheckAtATime() {
     store.answers.add(rows(5, false, "a"));
-    watcher.check();
+    watcher.poll();
     watcher.start();
-    watcher.check();
-    watcher.check();
+    watcher.poll();
+    watcher.poll();
     assertEquals(List.of("read null", "watch 5", "watch 5"), store.questions);
     assertEquals(List.of(2_000, 1), store.waits);
   }
@@ -137,7 +137,7 @@
     store.answers.add(rows(5, false, "a"));
     store.answers.add(new ReadOutcome.Failed("down"));
     careful.start();
-    careful.check();
+    careful.poll();
     assertEquals(List.of("read null", "watch 5"), store.questions);
     store.answers.add(rows(8, false, "b"));
     store.answers.add(rows(8, false));
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/telemetry/TestGatewayMetrics.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/telemetry/TestGatewayMetrics.java
@@ -18,8 +18,8 @@
     metrics.callEnded(200, 130, -1);
     metrics.callEnded(503, 1, -1);
     metrics.attemptFailed();
-    metrics.programJudged("admitted");
-    metrics.programJudged("no_room");
+    metrics.admissionDecided("admitted");
+    metrics.admissionDecided("no_room");
     String text = new String(metrics.render(), StandardCharsets.UTF_8);
     assertTrue(text.contains("baykeel_gateway_calls_total{status=\"200\"} 2.0"), text);
     assertTrue(text.contains("baykeel_gateway_calls_total{status=\"503\"} 1.0"), text);
@@ -44,7 +44,7 @@
   void tellsWhatWasUsedByPurposeOnceAndInAll() {
     GatewayMetrics metrics = new GatewayMetrics();
     List<String> lines = new ArrayList<>();
-    DecisionLog log = (event, fields) -> lines.add(event + " " + Arrays.toString(fields));
+    GatewayLog log = (event, fields) -> lines.add(event + " " + Arrays.toString(fields));
     metrics.reportUsage(log);
     metrics.storeCalled("watch_engines");
     metrics.storeCalled("create_budget");
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/telemetry/TestLineWriter.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/telemetry/TestLineWriter.java
@@ -16,7 +16,7 @@
   @Test
   void writesStructuredLines() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    LineWriter writer = new LineWriter("n1", out);
+    AsyncGatewayLog writer = new AsyncGatewayLog("n1", out);
     writer.write(GatewayEvent.CALL_ENDED, "id", "r1", "detail", "two words");
     writer.close();
     String line = out.toString(StandardCharsets.UTF_8);
@@ -41,7 +41,7 @@
             written.write(bytes, from, length);
           }
         };
-    LineWriter writer = new LineWriter("n1", slow);
+    AsyncGatewayLog writer = new AsyncGatewayLog("n1", slow);
     long start = System.nanoTime();
     for (int i = 0; i < FLOOD; i++) {
       writer.write(GatewayEvent.CALL_ENDED, "id", i);
