--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestEngineSuspicionGossip.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestEngineSuspicionGossip.java
@@ -81,7 +81,7 @@
   }
 
   @ParameterizedTest(name = "{0} ms after another node saw the failure: {1}")
-  @CsvSource({"1, TRUSTED", "3, SUSPECT", "1400, SUSPECT", "1600, TRUSTED"})
+  @CsvSource({"1, HEALTHY", "3, SUSPECT", "1400, SUSPECT", "1600, HEALTHY"})
   void othersLearnOfAFailureAndForgetIt(long millis, EngineHealth expected) {
     Node first = started("first", 1);
     Node second = started("second", 2);
@@ -105,11 +105,11 @@
 
   @ParameterizedTest(name = "reported {0} times, {1} ms after the last report: {2}")
   @CsvSource({
-    "1, 1600, TRUSTED",
+    "1, 1600, HEALTHY",
     "2, 2900, SUSPECT",
-    "2, 3100, TRUSTED",
+    "2, 3100, HEALTHY",
     "3, 5900, SUSPECT",
-    "3, 6100, TRUSTED",
+    "3, 6100, HEALTHY",
   })
   void anEngineThatOthersSuspectAgainIsDistrustedLonger(
       int reports, long millis, EngineHealth expected) {
