--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ProgramAccount.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ProgramAccount.java
@@ -24,10 +24,10 @@
    * the store, and turns go on while the store is away. It is also what a program loses of its
    * budget when the process that holds its tokens dies, so it may not be much larger.
    */
-  private static final double PART_AHEAD = 1.0 / 3;
+  private static final double AHEAD_FRACTION = 1.0 / 3;
 
   /** Grants ahead are made only below this part of the budget, so two of them at the most. */
-  private static final double AHEAD_BELOW = 0.7;
+  private static final double MAX_AHEAD_FRACTION = 0.7;
 
   private static final long RETRY_MILLIS = 40;
 
@@ -42,17 +42,17 @@
   private long allowance;
   private BudgetRow row = BudgetRow.NONE;
   private long rowVersion = Transaction.ABSENT;
-  private boolean rowSeen;
-  private boolean openedHere;
+  private boolean rowKnown;
+  private boolean startedHere;
 
   /** Whether this process was the last to be granted tokens, as far as it knows. */
   private boolean holder;
 
   /** Whether others were asked since this process last gave its tokens up. */
-  private boolean othersAsked;
+  private boolean othersQueried;
 
-  private boolean asking;
-  private BudgetRow unknownRow;
+  private boolean requestPending;
+  private BudgetRow unconfirmedRow;
   private int openReservations;
   private long lastUsedNanos;
 
@@ -79,14 +79,14 @@
     Reservation reservation = new Reservation(this, tokens, giveUpNanos, onDecided);
     if (waiting.isEmpty() && allowance >= tokens) {
       allowance -= tokens;
-      reservation.decideSilently(ReservationStatus.GRANTED);
+      reservation.decideWithoutCallback(ReservationStatus.GRANTED);
     } else if (knownExhausted(tokens)) {
-      reservation.decideSilently(ReservationStatus.EXHAUSTED);
+      reservation.decideWithoutCallback(ReservationStatus.EXHAUSTED);
     } else {
       waiting.add(reservation);
-      reservation.quiet(true);
-      ask();
-      reservation.quiet(false);
+      reservation.suppressCallback(true);
+      requestTokens();
+      reservation.suppressCallback(false);
     }
     return reservation;
   }
@@ -97,17 +97,20 @@
     return waiting.isEmpty() && knownExhausted(tokens);
   }
 
-  boolean known() {
-    return rowSeen;
+  boolean isKnown() {
+    return rowKnown;
   }
 
   /** Whether this process made the program's first grant of all. */
-  boolean openedHere() {
-    return openedHere;
+  boolean startedHere() {
+    return startedHere;
   }
 
   boolean idleSince(long nanos) {
-    return openReservations == 0 && waiting.isEmpty() && !asking && lastUsedNanos - nanos < 0;
+    return openReservations == 0
+        && waiting.isEmpty()
+        && !requestPending
+        && lastUsedNanos - nanos < 0;
   }
 
   void released(Reservation reservation, int unusedTokens) {
@@ -122,34 +125,34 @@
   }
 
   private boolean knownExhausted(int tokens) {
-    boolean othersMayHaveSome = !holder && !othersAsked;
-    boolean allGranted = rowSeen && row.grantedTokens() >= budgetTokens;
+    boolean othersMayHaveSome = !holder && !othersQueried;
+    boolean allGranted = rowKnown && row.grantedTokens() >= budgetTokens;
     return allGranted && allowance < tokens && !othersMayHaveSome;
   }
 
-  private void ask() {
-    if (asking || waiting.isEmpty()) {
+  private void requestTokens() {
+    if (requestPending || waiting.isEmpty()) {
       return;
     }
-    if (!holder && !othersAsked) {
-      asking = true;
-      othersAsked = true;
+    if (!holder && !othersQueried) {
+      requestPending = true;
+      othersQueried = true;
       source.request(program, this::onTransfer);
       return;
     }
-    long grant = tokensToAskFor();
+    long grant = tokensToRequest();
     if (grant == 0) {
       refuseAll(ReservationStatus.EXHAUSTED);
       return;
     }
-    asking = true;
+    requestPending = true;
     BudgetRow next = new BudgetRow(row.grantedTokens() + grant, grantIds.next());
     store.transact(
         Transaction.replace(address, rowVersion, next.encode()),
         outcome -> onOutcome(next, outcome));
   }
 
-  private long tokensToAskFor() {
+  private long tokensToRequest() {
     long missing = -allowance;
     long granted = row.grantedTokens();
     for (Reservation reservation : waiting) {
@@ -161,23 +164,23 @@
     if (missing <= 0) {
       return 0;
     }
-    long ahead = Math.max(missing, (long) (budgetTokens * PART_AHEAD));
-    return granted + ahead <= budgetTokens * AHEAD_BELOW ? ahead : missing;
+    long ahead = Math.max(missing, (long) (budgetTokens * AHEAD_FRACTION));
+    return granted + ahead <= budgetTokens * MAX_AHEAD_FRACTION ? ahead : missing;
   }
 
   private void onTransfer(Optional<GrantTransfer> transfer) {
-    asking = false;
+    requestPending = false;
     transfer.ifPresent(this::adoptTransfer);
     serveFromAllowance();
-    ask();
+    requestTokens();
   }
 
   private void adoptTransfer(GrantTransfer transfer) {
     allowance += transfer.tokens();
-    if (!rowSeen || transfer.rowVersion() > rowVersion) {
+    if (!rowKnown || transfer.rowVersion() > rowVersion) {
       row = new BudgetRow(transfer.grantedTokens(), transfer.grantId());
       rowVersion = transfer.rowVersion();
-      rowSeen = true;
+      rowKnown = true;
     }
     becomeHolder();
   }
@@ -194,40 +197,40 @@
    * are told to anybody: if the answer is lost, they count as spent.
    */
   Optional<GrantTransfer> release() {
-    if (!rowSeen) {
+    if (!rowKnown) {
       return Optional.empty();
     }
-    long given = waiting.isEmpty() ? allowance : 0;
-    allowance -= given;
+    long released = waiting.isEmpty() ? allowance : 0;
+    allowance -= released;
     holder = false;
-    othersAsked = false;
-    return Optional.of(new GrantTransfer(given, row.grantedTokens(), row.grantId(), rowVersion));
+    othersQueried = false;
+    return Optional.of(new GrantTransfer(released, row.grantedTokens(), row.grantId(), rowVersion));
   }
 
-  private void onOutcome(BudgetRow asked, TransactionOutcome outcome) {
-    asking = false;
+  private void onOutcome(BudgetRow requested, TransactionOutcome outcome) {
+    requestPending = false;
     if (outcome instanceof TransactionOutcome.Applied applied) {
-      adoptOwnGrant(asked, applied.version());
+      adoptOwnGrant(requested, applied.version());
     } else if (outcome instanceof TransactionOutcome.Conflict conflict) {
-      onConflict(asked, conflict.rows());
+      onConflict(requested, conflict.rows());
     } else {
       if (outcome instanceof TransactionOutcome.Unknown) {
-        unknownRow = asked;
+        unconfirmedRow = requested;
       }
-      retryWithinPatience();
+      retryUntilTimeout();
     }
   }
 
   private void adoptOwnGrant(BudgetRow granted, long version) {
-    openedHere |= rowVersion == Transaction.ABSENT;
+    startedHere |= rowVersion == Transaction.ABSENT;
     allowance += granted.grantedTokens() - row.grantedTokens();
     adopt(granted, version);
     becomeHolder();
     serveFromAllowance();
-    ask();
+    requestTokens();
   }
 
-  private void onConflict(BudgetRow asked, List<StoredRow> rows) {
+  private void onConflict(BudgetRow requested, List<StoredRow> rows) {
     BudgetRow current = BudgetRow.NONE;
     long version = Transaction.ABSENT;
     for (StoredRow stored : rows) {
@@ -236,27 +239,27 @@
         version = stored.version();
       }
     }
-    if (ownGrant(asked, current) || ownGrant(unknownRow, current)) {
+    if (ownGrant(requested, current) || ownGrant(unconfirmedRow, current)) {
       adoptOwnGrant(current, version);
       return;
     }
     adopt(current, version);
     serveFromAllowance();
-    ask();
+    requestTokens();
   }
 
   /**
    * The row is what this process asked for: another copy of the call, or an earlier one, was done.
    */
-  private static boolean ownGrant(BudgetRow asked, BudgetRow current) {
-    return asked != null && asked.grantId() == current.grantId();
+  private static boolean ownGrant(BudgetRow requested, BudgetRow current) {
+    return requested != null && requested.grantId() == current.grantId();
   }
 
   private void adopt(BudgetRow current, long version) {
     row = current;
     rowVersion = version;
-    rowSeen = true;
-    unknownRow = null;
+    rowKnown = true;
+    unconfirmedRow = null;
   }
 
   private void serveFromAllowance() {
@@ -273,7 +276,7 @@
     }
   }
 
-  private void retryWithinPatience() {
+  private void retryUntilTimeout() {
     long now = eventLoop.nanoTime();
     for (Reservation reservation : List.copyOf(waiting)) {
       if (now - reservation.giveUpNanos() >= 0) {
@@ -282,7 +285,7 @@
       }
     }
     if (!waiting.isEmpty()) {
-      eventLoop.schedule(RETRY_MILLIS, this::ask);
+      eventLoop.schedule(RETRY_MILLIS, this::requestTokens);
     }
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ProgramBudgets.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ProgramBudgets.java
@@ -15,7 +15,7 @@
 public final class ProgramBudgets {
   private static final String TABLE = "budget";
   private static final String KEY = "granted";
-  private static final long FORGET_NANOS = 120_000_000_000L;
+  private static final long IDLE_EVICTION_NANOS = 120_000_000_000L;
 
   private final DurableStore store;
   private final EventLoop eventLoop;
@@ -60,7 +60,7 @@
   /** Whether this process has learnt of the program from the store. */
   public boolean isKnown(String program) {
     ProgramAccount account = accounts.get(program);
-    return account != null && account.known();
+    return account != null && account.isKnown();
   }
 
   /** What the store says of a program. */
@@ -96,16 +96,16 @@
   }
 
   /** Forgets programs that have not been heard of for a while. Their rows stay in the store. */
-  public void forgetIdle() {
-    long since = eventLoop.nanoTime() - FORGET_NANOS;
+  public void evictIdle() {
+    long since = eventLoop.nanoTime() - IDLE_EVICTION_NANOS;
     accounts.values().removeIf(account -> account.idleSince(since));
   }
 
   private ProgramAccount account(String program) {
-    return accounts.computeIfAbsent(program, this::open);
+    return accounts.computeIfAbsent(program, this::createAccount);
   }
 
-  private ProgramAccount open(String program) {
+  private ProgramAccount createAccount(String program) {
     RowAddress address = new RowAddress(TABLE, program, KEY);
     return new ProgramAccount(new ProgramId(program), address, store, eventLoop, grantIds, source);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/Reservation.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/Reservation.java
@@ -9,7 +9,7 @@
   private ReservationStatus status = ReservationStatus.PENDING;
   private int usedTokens;
   private boolean closed;
-  private boolean quiet;
+  private boolean suppressCallback;
 
   Reservation(ProgramAccount account, int tokens, long giveUpNanos, Runnable onDecided) {
     this.account = account;
@@ -37,28 +37,28 @@
 
   void decide(ReservationStatus decision) {
     status = decision;
-    if (!closed && !quiet) {
+    if (!closed && !suppressCallback) {
       onDecided.run();
     }
   }
 
   /** While quiet, a decision is only kept: whoever reserves is about to look at it. */
-  void quiet(boolean nowQuiet) {
-    quiet = nowQuiet;
+  void suppressCallback(boolean suppress) {
+    suppressCallback = suppress;
   }
 
-  void decideSilently(ReservationStatus decision) {
+  void decideWithoutCallback(ReservationStatus decision) {
     status = decision;
   }
 
   /** Whether the program was unknown to the store before this process's first grant. */
   public boolean programStartedHere() {
-    return account.openedHere();
+    return account.startedHere();
   }
 
   /** Notes tokens that were handed to the caller. */
-  public void use(int handedTokens) {
-    usedTokens += handedTokens;
+  public void use(int sentTokens) {
+    usedTokens += sentTokens;
   }
 
   /** The turn is over; what it did not use goes to the program's next turns. */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/configuration/Route.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/configuration/Route.java
@@ -41,10 +41,10 @@
     boolean anonymous,
     Residency residency) {
 
-  private static final int STREAM_SILENCE_TARGETS = 5;
-  private static final int STREAM_SILENCE_GAPS = 2;
-  private static final int SAFE_SILENCE_TARGETS = 4;
-  private static final double SAFE_SILENCE_PART_OF_TIMEOUT = 0.3;
+  private static final int STREAM_START_TIMEOUT_TARGETS = 5;
+  private static final int STREAM_TIMEOUT_GAPS = 2;
+  private static final int SAFE_TIMEOUT_TARGETS = 4;
+  private static final double SAFE_TIMEOUT_FRACTION = 0.3;
 
   public Route {
     backends = List.copyOf(backends);
@@ -56,16 +56,16 @@
   /**
    * The longest silence of an engine after which a request that may be repeated tries another one.
    *
-   * @param begun whether the first event of a stream is there
+   * @param streamStarted whether the first event of a stream is there
    */
-  public long silenceTimeoutMillis(boolean begun) {
+  public long silenceTimeoutMillis(boolean streamStarted) {
     if (kind == RouteKind.SAFE) {
-      long patience = Math.round(timeoutMillis * SAFE_SILENCE_PART_OF_TIMEOUT);
-      return Math.min(targetLatencyMillis * SAFE_SILENCE_TARGETS, patience);
+      long limitMillis = Math.round(timeoutMillis * SAFE_TIMEOUT_FRACTION);
+      return Math.min(targetLatencyMillis * SAFE_TIMEOUT_TARGETS, limitMillis);
     }
-    return begun
-        ? gapTargetMillis * STREAM_SILENCE_GAPS
-        : targetLatencyMillis * STREAM_SILENCE_TARGETS;
+    return streamStarted
+        ? gapTargetMillis * STREAM_TIMEOUT_GAPS
+        : targetLatencyMillis * STREAM_START_TIMEOUT_TARGETS;
   }
 
   /** Whether a request may be sent to another engine after an unknown outcome. */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/handover/HolderDirectory.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/handover/HolderDirectory.java
@@ -35,10 +35,10 @@
    * A few ways within a region and a little work at a slow node; after it the store is asked. What
    * the way itself takes, as measured, comes on top.
    */
-  private static final long QUERY_MILLIS = 25;
+  private static final long QUERY_TIMEOUT_MILLIS = 25;
 
   /** How long a registrar that did not answer is not asked. */
-  private static final long SILENT_NANOS = 5_000_000_000L;
+  private static final long UNRESPONSIVE_NANOS = 5_000_000_000L;
 
   private final PeerAddress ownAddress;
   private final PeerDirectory peers;
@@ -55,13 +55,14 @@
           return size() > MAX_HOLDERS;
         }
       };
-  private final Map<PeerAddress, Long> silentUntilNanos = new HashMap<>();
+  private final Map<PeerAddress, Long> unresponsiveUntilNanos = new HashMap<>();
   private final Map<Long, Query> queries = new HashMap<>();
   private final Map<ProgramId, Query> queriesByProgram = new HashMap<>();
   private long lastQueryId;
 
   /** A question to a registrar, and all who wait for its answer. */
-  private record Query(long id, ProgramId program, List<Consumer<Optional<PeerAddress>>> waiting) {}
+  private record Query(
+      long id, ProgramId program, List<Consumer<Optional<PeerAddress>>> callbacks) {}
 
   /**
    * Creates a directory.
@@ -109,51 +110,51 @@
     }
     PeerAddress registrar = registrar(program);
     if (registrar.equals(ownAddress)) {
-      answer.accept(other(holders.get(program)));
+      answer.accept(unlessOwn(holders.get(program)));
       return;
     }
-    if (silent(registrar)) {
+    if (isUnresponsive(registrar)) {
       answer.accept(Optional.empty());
       return;
     }
-    Query underWay = queriesByProgram.get(program);
-    if (underWay != null) {
-      underWay.waiting().add(answer);
+    Query pending = queriesByProgram.get(program);
+    if (pending != null) {
+      pending.callbacks().add(answer);
       return;
     }
     Query query = new Query(++lastQueryId, program, new ArrayList<>(List.of(answer)));
     queries.put(query.id(), query);
     queriesByProgram.put(program, query);
     transport.send(registrar, codec.encode(new PeerMessage.HolderQuery(query.id(), program)));
-    long patience = QUERY_MILLIS + distance.roundTripMillis(registrar);
-    eventLoop.schedule(patience, () -> onSilence(query.id(), registrar));
+    long timeoutMillis = QUERY_TIMEOUT_MILLIS + distance.roundTripMillis(registrar);
+    eventLoop.schedule(timeoutMillis, () -> onTimeout(query.id(), registrar));
   }
 
   private static boolean fits(ProgramId program) {
     return !program.value().isEmpty() && program.value().length() <= MAX_ID_LENGTH;
   }
 
-  private Optional<PeerAddress> other(PeerAddress holder) {
+  private Optional<PeerAddress> unlessOwn(PeerAddress holder) {
     return Optional.ofNullable(holder).filter(address -> !address.equals(ownAddress));
   }
 
-  private boolean silent(PeerAddress registrar) {
-    Long until = silentUntilNanos.get(registrar);
+  private boolean isUnresponsive(PeerAddress registrar) {
+    Long until = unresponsiveUntilNanos.get(registrar);
     return until != null && eventLoop.nanoTime() - until < 0;
   }
 
-  private void onSilence(long queryId, PeerAddress registrar) {
+  private void onTimeout(long queryId, PeerAddress registrar) {
     if (queries.containsKey(queryId)) {
-      silentUntilNanos.put(registrar, eventLoop.nanoTime() + SILENT_NANOS);
-      end(queryId, Optional.empty());
+      unresponsiveUntilNanos.put(registrar, eventLoop.nanoTime() + UNRESPONSIVE_NANOS);
+      complete(queryId, Optional.empty());
     }
   }
 
-  private void end(long queryId, Optional<PeerAddress> holder) {
+  private void complete(long queryId, Optional<PeerAddress> holder) {
     Query query = queries.remove(queryId);
     if (query != null) {
       queriesByProgram.remove(query.program());
-      query.waiting().forEach(waiting -> waiting.accept(holder));
+      query.callbacks().forEach(callback -> callback.accept(holder));
     }
   }
 
@@ -167,8 +168,8 @@
               .filter(address -> !address.equals(sender));
       transport.send(sender, codec.encode(new PeerMessage.HolderReply(query.queryId(), holder)));
     } else if (message instanceof PeerMessage.HolderReply reply) {
-      silentUntilNanos.remove(sender);
-      end(reply.queryId(), reply.holder().flatMap(this::other));
+      unresponsiveUntilNanos.remove(sender);
+      complete(reply.queryId(), reply.holder().flatMap(this::unlessOwn));
     }
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/history/StoredTurnCodec.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/history/StoredTurnCodec.java
@@ -60,11 +60,13 @@
 
   static List<byte[]> encode(StoredTurn turn, int maxValueBytes) {
     byte[] body = encodeWhole(turn);
-    int room = maxValueBytes - 2;
-    int pieces = Math.max(1, (body.length + room - 1) / room);
+    int maxPieceBytes = maxValueBytes - 2;
+    int pieces = Math.max(1, (body.length + maxPieceBytes - 1) / maxPieceBytes);
     List<byte[]> values = new ArrayList<>(pieces);
     for (int i = 0; i < pieces; i++) {
-      byte[] part = Arrays.copyOfRange(body, i * room, Math.min(body.length, (i + 1) * room));
+      byte[] part =
+          Arrays.copyOfRange(
+              body, i * maxPieceBytes, Math.min(body.length, (i + 1) * maxPieceBytes));
       byte[] value = new byte[part.length + 2];
       value[0] = FORMAT;
       value[1] = (byte) pieces;
@@ -74,7 +76,7 @@
     return values;
   }
 
-  static int pieces(byte[] firstValue) {
+  static int pieceCount(byte[] firstValue) {
     if (firstValue.length < 2 || firstValue[0] != FORMAT) {
       throw new IllegalArgumentException("not a kept turn: " + firstValue.length + " bytes");
     }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/history/TurnHistory.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/history/TurnHistory.java
@@ -125,10 +125,10 @@
    * @param answer true once the store has it; false if that is not certain
    */
   public void save(StoredTurn turn, long giveUpNanos, Consumer<Boolean> answer) {
-    store.transact(insertion(turn), outcome -> onKept(turn, giveUpNanos, outcome, answer));
+    store.transact(insertTransaction(turn), outcome -> onSaved(turn, giveUpNanos, outcome, answer));
   }
 
-  private Transaction insertion(StoredTurn turn) {
+  private Transaction insertTransaction(StoredTurn turn) {
     List<byte[]> values = StoredTurnCodec.encode(turn, MAX_VALUE_BYTES);
     List<Transaction.Put> puts = new ArrayList<>(values.size());
     for (int i = 0; i < values.size(); i++) {
@@ -139,7 +139,7 @@
     return new Transaction(List.of(absent), puts, List.of());
   }
 
-  private void onKept(
+  private void onSaved(
       StoredTurn turn, long giveUpNanos, TransactionOutcome outcome, Consumer<Boolean> answer) {
     // A conflict means that an earlier copy of this very write was done: identifiers are unique.
     if (outcome instanceof TransactionOutcome.Applied
@@ -227,9 +227,9 @@
       confirmAbsent(id, giveUpNanos, answer);
       return;
     }
-    int pieces = StoredTurnCodec.pieces(rows.rows().get(0).value());
+    int pieces = StoredTurnCodec.pieceCount(rows.rows().get(0).value());
     if (pieces == 1) {
-      answer.accept(new Fetched(remember(id, rows.rows()), false));
+      answer.accept(new Fetched(cacheTurn(id, rows.rows()), false));
       return;
     }
     RangeRead read = new RangeRead(TABLE, partition(id), key(id, 0), pieces);
@@ -254,7 +254,7 @@
   private void onAllPieces(
       String id, long giveUpNanos, int pieces, ReadOutcome outcome, Consumer<Fetched> answer) {
     if (outcome instanceof ReadOutcome.Rows rows && rows.rows().size() == pieces) {
-      answer.accept(new Fetched(remember(id, rows.rows()), false));
+      answer.accept(new Fetched(cacheTurn(id, rows.rows()), false));
     } else {
       retryFetch(id, giveUpNanos, answer);
     }
@@ -268,7 +268,7 @@
     }
   }
 
-  private StoredTurn remember(String id, List<StoredRow> rows) {
+  private StoredTurn cacheTurn(String id, List<StoredRow> rows) {
     StoredTurn turn = StoredTurnCodec.decode(id, rows.stream().map(StoredRow::value).toList());
     cache.put(turn);
     return turn;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/LeaseRow.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/LeaseRow.java
@@ -8,11 +8,11 @@
  * What the store keeps of a partition's lease.
  *
  * @param holder the node that holds it
- * @param life identifies one life of the holder's process
+ * @param incarnation identifies one life of the holder's process
  * @param expiresStoreMillis the holder does nothing under the lease once the store's clock shows
  *     this; 0 if it has given the lease back
  */
-record LeaseRow(PeerAddress holder, long life, long expiresStoreMillis) {
+record LeaseRow(PeerAddress holder, long incarnation, long expiresStoreMillis) {
   private static final byte FORMAT = 1;
   private static final int FIXED_LENGTH = 17;
 
@@ -20,7 +20,7 @@
     byte[] address = holder.toString().getBytes(StandardCharsets.US_ASCII);
     return ByteBuffer.allocate(FIXED_LENGTH + address.length)
         .put(FORMAT)
-        .putLong(life)
+        .putLong(incarnation)
         .putLong(expiresStoreMillis)
         .put(address)
         .array();
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/LimitBounds.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/LimitBounds.java
@@ -12,17 +12,17 @@
    * Tokens that are used later than they were given pass the rate by the rate times that delay. The
    * operator's overage of a window covers this; the rest of it is for requests under way.
    */
-  private static final double PART_OF_OVERAGE = 0.8;
+  private static final double OVERAGE_FRACTION = 0.8;
 
   /** Requests of a slow tenant come in clumps, and its burst may be smaller than such a clump. */
-  private static final double EXTRA_PART_OF_SLACK = 0.4;
+  private static final double EXTRA_FRACTION_OF_SLACK = 0.4;
 
   /**
    * A bucket may change hands four times within a window, and the last holder may have emptied it
    * just before, so each takeover gives only this part of the operator's slack. What is left of the
    * slack is for requests that were under way when a process stood still.
    */
-  private static final double TAKEOVER_PART_OF_SLACK = 0.1;
+  private static final double TAKEOVER_FRACTION_OF_SLACK = 0.1;
 
   /**
    * Derives the bounds from the operator's.
@@ -33,8 +33,8 @@
    */
   public static LimitBounds of(double windowSeconds, double overage, double slack) {
     return new LimitBounds(
-        Math.round(windowSeconds * overage * PART_OF_OVERAGE * 1_000),
-        slack * EXTRA_PART_OF_SLACK,
-        slack * TAKEOVER_PART_OF_SLACK);
+        Math.round(windowSeconds * overage * OVERAGE_FRACTION * 1_000),
+        slack * EXTRA_FRACTION_OF_SLACK,
+        slack * TAKEOVER_FRACTION_OF_SLACK);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/LimitPartition.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/LimitPartition.java
@@ -33,7 +33,7 @@
   }
 
   /** Whether a row belongs to a partition of this version of the program. */
-  static boolean named(String key) {
+  static boolean isPartitionKey(String key) {
     if (!key.matches("p[0-9]{1,3}")) {
       return false;
     }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionBuckets.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionBuckets.java
@@ -11,22 +11,22 @@
 /** The buckets of the tenants of one partition, at the node that holds its lease. */
 final class PartitionBuckets {
   /** A share of the tokens that are left, so that many nodes that ask for slices all get some. */
-  private static final double LARGEST_SLICE = 0.25;
+  private static final double MAX_SLICE_FRACTION = 0.25;
 
   /** Programs that have begun, as they are known here; those unheard of for longest go first. */
   private static final int MAX_PROGRAMS = 4_096;
 
   /** The shortest time after which a refused program should come back. */
-  private static final long OPENING_RETRY_MILLIS = 150;
+  private static final long MIN_FIRST_TURN_RETRY_MILLIS = 150;
 
   /** What a program must leave to others falls while those end, so longer times mislead. */
-  private static final long LONGEST_OPENING_RETRY_MILLIS = 2_000;
+  private static final long MAX_FIRST_TURN_RETRY_MILLIS = 2_000;
 
   private final double extraTokens;
-  private final double firstTokens;
+  private final double initialTokens;
   private final boolean heldBefore;
   private final Map<TenantId, Account> accounts = new HashMap<>();
-  private final Map<Integer, Long> heardNanos =
+  private final Map<Integer, Long> lastGrantNanos =
       new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
@@ -48,19 +48,19 @@
    * Creates buckets.
    *
    * @param extraTokens what a full bucket holds beyond the tenant's burst
-   * @param firstTokens what a bucket holds at first
+   * @param initialTokens what a bucket holds at first
    * @param heldBefore whether somebody may have lent tokens of these buckets before
    */
-  PartitionBuckets(double extraTokens, double firstTokens, boolean heldBefore) {
+  PartitionBuckets(double extraTokens, double initialTokens, boolean heldBefore) {
     this.extraTokens = extraTokens;
-    this.firstTokens = firstTokens;
+    this.initialTokens = initialTokens;
     this.heldBefore = heldBefore;
   }
 
   private Account newAccount(Tenant tenant, long nowNanos) {
-    TokenBucket bucket = new TokenBucket(tenant.limit(), extraTokens, firstTokens, nowNanos);
+    TokenBucket bucket = new TokenBucket(tenant.limit(), extraTokens, initialTokens, nowNanos);
     if (heldBefore) {
-      bucket.oweWhatAnotherMayHaveLent();
+      bucket.deductPossibleLoans();
     }
     return new Account(bucket, new RunningPrograms(nowNanos));
   }
@@ -69,44 +69,45 @@
    * Decides on a request for tokens.
    *
    * @param tenant a tenant with a limit
-   * @param asked what the first of the tokens is for, as far as the node that asks knows
+   * @param requested what the first of the tokens is for, as far as the node that asks knows
    * @param programHash of its program; a program that has begun elsewhere is known here by it
    * @param wanted how many tokens are wanted; one is enough
    */
   TokenDecision decide(
-      Tenant tenant, RequestKind asked, int programHash, int wanted, long nowNanos) {
-    RequestKind kind = heardNanos.get(programHash) != null ? RequestKind.CONTINUING : asked;
+      Tenant tenant, RequestKind requested, int programHash, int wanted, long nowNanos) {
+    RequestKind kind = lastGrantNanos.get(programHash) != null ? RequestKind.CONTINUING : requested;
     Account account = accounts.computeIfAbsent(tenant.id(), id -> newAccount(tenant, nowNanos));
     account.advance(tenant.limit(), nowNanos);
     TokenBucket bucket = account.bucket();
     LimitUse use = bucket.use();
-    double openingReserve = openingReserve(account, tenant.limit());
-    double reserve = kind == RequestKind.FIRST_TURN ? openingReserve : 0;
+    double firstTurnReserve = firstTurnReserve(account, tenant.limit());
+    double reserve = kind == RequestKind.FIRST_TURN ? firstTurnReserve : 0;
     if (bucket.tokens() < 1 && kind == RequestKind.CONTINUING) {
       long delayMillis = bucket.lend();
       if (delayMillis >= 0) {
-        given(account, programHash, 1, nowNanos);
+        recordGranted(account, programHash, 1, nowNanos);
         return new TokenDecision(1, false, delayMillis, bucket.tokens(), use);
       }
     }
     if (bucket.tokens() - reserve < 1) {
-      bucket.asked(1);
+      bucket.recordDemand(1);
       long retryMillis = retryMillis(kind, bucket, reserve);
       return new TokenDecision(0, false, retryMillis, bucket.tokens(), use);
     }
-    int slice = (int) Math.max(1, Math.min(wanted, bucket.tokens() * LARGEST_SLICE));
+    int slice = (int) Math.max(1, Math.min(wanted, bucket.tokens() * MAX_SLICE_FRACTION));
     int taken = bucket.take(slice);
-    given(account, programHash, taken, nowNanos);
-    boolean openingsAllowed = bucket.tokens() >= openingReserve;
-    return new TokenDecision(taken, openingsAllowed, 0, bucket.tokens(), use);
+    recordGranted(account, programHash, taken, nowNanos);
+    boolean firstTurnsAllowed = bucket.tokens() >= firstTurnReserve;
+    return new TokenDecision(taken, firstTurnsAllowed, 0, bucket.tokens(), use);
   }
 
   /** Tokens that a program must leave when it begins; with a full bucket it always may. */
-  private static double openingReserve(Account account, RateLimit limit) {
+  private static double firstTurnReserve(Account account, RateLimit limit) {
     TokenBucket bucket = account.bucket();
-    double kept = bucket.overdrawn() ? RequestKind.FIRST_TURN.reserve(bucket.capacity()) : 0;
-    double needed = account.programs().neededForAnother(limit.requestsPerSecond());
-    return Math.min(bucket.capacity() - 1, Math.max(kept, needed));
+    double reserved =
+        bucket.demandExceedsLimit() ? RequestKind.FIRST_TURN.reserve(bucket.capacity()) : 0;
+    double needed = account.programs().tokensNeededForAnother(limit.requestsPerSecond());
+    return Math.min(bucket.capacity() - 1, Math.max(reserved, needed));
   }
 
   private static long retryMillis(RequestKind kind, TokenBucket bucket, double reserve) {
@@ -114,16 +115,19 @@
     if (kind != RequestKind.FIRST_TURN) {
       return untilTokens;
     }
-    return Math.max(OPENING_RETRY_MILLIS, Math.min(LONGEST_OPENING_RETRY_MILLIS, untilTokens));
+    return Math.max(
+        MIN_FIRST_TURN_RETRY_MILLIS, Math.min(MAX_FIRST_TURN_RETRY_MILLIS, untilTokens));
   }
 
-  private void given(Account account, int programHash, int tokens, long nowNanos) {
-    account.bucket().asked(tokens);
+  private void recordGranted(Account account, int programHash, int tokens, long nowNanos) {
+    account.bucket().recordDemand(tokens);
     if (programHash == LimitedRequest.NO_PROGRAM) {
-      account.programs().givenToOthers(tokens);
+      account.programs().recordGrantedToOthers(tokens);
     } else {
-      Long heard = heardNanos.put(programHash, nowNanos);
-      account.programs().given(tokens, heard == null ? Long.MAX_VALUE : nowNanos - heard);
+      Long previousNanos = lastGrantNanos.put(programHash, nowNanos);
+      account
+          .programs()
+          .recordGranted(tokens, previousNanos == null ? Long.MAX_VALUE : nowNanos - previousNanos);
     }
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionLeases.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionLeases.java
@@ -45,7 +45,7 @@
   private static final long REFRESH_MILLIS = 60;
 
   /** Between two reads for a partition whose lease runs: its holder may have given it back. */
-  private static final long LOOK_AGAIN_MILLIS = 300;
+  private static final long REREAD_MILLIS = 300;
 
   /**
    * How much longer each node waits than the one before it in the order of a free partition: a read
@@ -56,10 +56,10 @@
   private static final int MAX_RANK = 12;
 
   /** After a start, when the other nodes are known; free partitions are then spread evenly. */
-  private static final long FIRST_TAKE_MILLIS = 2_500;
+  private static final long FIRST_ACQUIRE_MILLIS = 2_500;
 
   private final PeerAddress self;
-  private final long life;
+  private final long incarnation;
   private final DurableStore store;
   private final StoreClock clock;
   private final EventLoop eventLoop;
@@ -70,7 +70,7 @@
   private boolean refreshed;
   private boolean stopped;
   private long refreshedNanos;
-  private long tenures;
+  private long lastTenureNumber;
 
   /**
    * A time without a gap for which this node holds a partition.
@@ -88,11 +88,11 @@
     private long validUntilNanos;
     private Tenure tenure;
     private boolean writing;
-    private boolean wanted;
-    private boolean waiting;
-    private boolean turn;
-    private boolean looked;
-    private long lookedNanos;
+    private boolean requested;
+    private boolean delayed;
+    private boolean delayOver;
+    private boolean readRequested;
+    private long readRequestedNanos;
 
     Partition(LimitPartition id) {
       this.id = id;
@@ -104,7 +104,7 @@
    *
    * @param self where the other nodes reach this one
    * @param clock what the store's clock shows
-   * @param life a random number that identifies this life of the process
+   * @param incarnation a random number that identifies this life of the process
    * @param rank this node's place in the order in which nodes take a free partition, from 0
    */
   public PartitionLeases(
@@ -112,7 +112,7 @@
       DurableStore store,
       StoreClock clock,
       EventLoop eventLoop,
-      long life,
+      long incarnation,
       ToIntFunction<LimitPartition> rank,
       GatewayLog log) {
     this.self = self;
@@ -121,7 +121,7 @@
     this.eventLoop = eventLoop;
     this.rank = rank;
     this.log = log;
-    this.life = life;
+    this.incarnation = incarnation;
     for (int i = 0; i < LimitPartition.COUNT; i++) {
       LimitPartition id = new LimitPartition(i);
       partitions.put(id, new Partition(id));
@@ -132,13 +132,13 @@
   void start() {
     refresh();
     eventLoop.schedule(RENEW_MILLIS, this::renew);
-    eventLoop.schedule(FIRST_TAKE_MILLIS, this::takeOwnShare);
+    eventLoop.schedule(FIRST_ACQUIRE_MILLIS, this::acquireOwnShare);
   }
 
-  private void takeOwnShare() {
+  private void acquireOwnShare() {
     for (Partition partition : partitions.values()) {
       if (rank.applyAsInt(partition.id) == 0) {
-        want(partition.id);
+        requestLease(partition.id);
       }
     }
   }
@@ -169,20 +169,20 @@
   }
 
   /** Nobody is known to hold a partition, or its holder is silent: looks, and takes it if free. */
-  void want(LimitPartition id) {
+  void requestLease(LimitPartition id) {
     Partition partition = partitions.get(id);
-    if (holds(id) || partition.writing || partition.waiting) {
+    if (holds(id) || partition.writing || partition.delayed) {
       return;
     }
     long now = eventLoop.nanoTime();
-    boolean lately =
-        partition.looked && now - partition.lookedNanos < LOOK_AGAIN_MILLIS * 1_000_000;
-    if (lately && !free(partition.row)) {
+    boolean readRecently =
+        partition.readRequested && now - partition.readRequestedNanos < REREAD_MILLIS * 1_000_000;
+    if (readRecently && !isFree(partition.row)) {
       return;
     }
-    partition.looked = true;
-    partition.lookedNanos = now;
-    partition.wanted = true;
+    partition.readRequested = true;
+    partition.readRequestedNanos = now;
+    partition.requested = true;
     refresh();
   }
 
@@ -208,13 +208,13 @@
     }
     rows.rows().forEach(this::adopt);
     if (!stopped) {
-      partitions.values().forEach(this::takeIfFree);
+      partitions.values().forEach(this::acquireIfFree);
     }
   }
 
   /** Adopts a row unless a newer one is known. */
   private void adopt(StoredRow stored) {
-    if (stored.removed() || !LimitPartition.named(stored.address().key())) {
+    if (stored.removed() || !LimitPartition.isPartitionKey(stored.address().key())) {
       return;
     }
     Partition partition = partitions.get(LimitPartition.ofKey(stored.address().key()));
@@ -229,36 +229,36 @@
     }
   }
 
-  private void takeIfFree(Partition partition) {
+  private void acquireIfFree(Partition partition) {
     boolean own = partition.row != null && partition.row.holder().equals(self);
-    boolean due = partition.turn;
-    partition.turn = false;
-    if (partition.writing || partition.waiting || holds(partition.id)) {
+    boolean delayOver = partition.delayOver;
+    partition.delayOver = false;
+    if (partition.writing || partition.delayed || holds(partition.id)) {
       return;
     }
-    if (!(partition.wanted || own || due) || !free(partition.row)) {
+    if (!(partition.requested || own || delayOver) || !isFree(partition.row)) {
       return;
     }
-    partition.wanted = false;
-    int place = Math.min(MAX_RANK, rank.applyAsInt(partition.id));
-    if (own || due || place == 0) {
+    partition.requested = false;
+    int position = Math.min(MAX_RANK, rank.applyAsInt(partition.id));
+    if (own || delayOver || position == 0) {
       write(partition);
       return;
     }
-    partition.waiting = true;
-    eventLoop.schedule(place * WAIT_MILLIS_PER_RANK, () -> onTurn(partition));
+    partition.delayed = true;
+    eventLoop.schedule(position * WAIT_MILLIS_PER_RANK, () -> onDelayOver(partition));
   }
 
   /** The nodes before this one had their time; whether they used it, the rows tell. */
-  private void onTurn(Partition partition) {
-    partition.waiting = false;
-    partition.turn = true;
+  private void onDelayOver(Partition partition) {
+    partition.delayed = false;
+    partition.delayOver = true;
     if (!refreshing) {
       readRows();
     }
   }
 
-  private boolean free(LeaseRow row) {
+  private boolean isFree(LeaseRow row) {
     if (row == null || row.holder().equals(self) || row.expiresStoreMillis() == 0) {
       return true;
     }
@@ -272,7 +272,7 @@
       return;
     }
     long now = eventLoop.nanoTime();
-    LeaseRow next = new LeaseRow(self, life, clock.latestStoreMillis(now) + LEASE_MILLIS);
+    LeaseRow next = new LeaseRow(self, incarnation, clock.latestStoreMillis(now) + LEASE_MILLIS);
     long untilNanos = now + LEASE_MILLIS * 1_000_000;
     partition.writing = true;
     store.transact(
@@ -288,35 +288,36 @@
       Partition partition, LeaseRow written, long untilNanos, TransactionOutcome outcome) {
     partition.writing = false;
     if (outcome instanceof TransactionOutcome.Applied applied) {
-      onHeld(partition, written, untilNanos, applied.version());
+      onAcquired(partition, written, untilNanos, applied.version());
     } else if (outcome instanceof TransactionOutcome.Conflict conflict) {
       conflict.rows().forEach(this::adopt);
       onConflict(partition);
     }
   }
 
-  private void onHeld(Partition partition, LeaseRow written, long untilNanos, long version) {
-    LeaseRow before = partition.row;
-    boolean unbroken = partition.tenure != null && before != null && before.life() == life;
+  private void onAcquired(Partition partition, LeaseRow written, long untilNanos, long version) {
+    LeaseRow previous = partition.row;
+    boolean continuous =
+        partition.tenure != null && previous != null && previous.incarnation() == incarnation;
     partition.row = written;
     partition.version = version;
     partition.validUntilNanos = untilNanos;
-    if (!unbroken) {
-      partition.tenure = new Tenure(++tenures, before == null);
+    if (!continuous) {
+      partition.tenure = new Tenure(++lastTenureNumber, previous == null);
       log.write(
           GatewayEvent.LIMIT_LEASE_TAKEN,
           "partition",
           partition.id.number(),
           "from",
-          before == null ? "nobody" : before.holder());
+          previous == null ? "nobody" : previous.holder());
     }
     if (stopped) {
-      giveBack(partition);
+      release(partition);
     }
   }
 
   private void onConflict(Partition partition) {
-    boolean own = partition.row != null && partition.row.life() == life;
+    boolean own = partition.row != null && partition.row.incarnation() == incarnation;
     if (own) {
       // An earlier try of this process was done after all; the lease goes on from there.
       write(partition);
@@ -352,16 +353,16 @@
     stopped = true;
     for (Partition partition : partitions.values()) {
       if (partition.tenure != null && !partition.writing) {
-        giveBack(partition);
+        release(partition);
       }
     }
   }
 
-  private void giveBack(Partition partition) {
+  private void release(Partition partition) {
     partition.tenure = null;
-    LeaseRow returned = new LeaseRow(self, life, 0);
+    LeaseRow released = new LeaseRow(self, incarnation, 0);
     store.transact(
-        Transaction.replace(address(partition.id), partition.version, returned.encode()),
+        Transaction.replace(address(partition.id), partition.version, released.encode()),
         outcome -> {});
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RequestKind.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RequestKind.java
@@ -9,7 +9,7 @@
   FIRST_TURN {
     @Override
     double reserve(double capacity) {
-      return Math.min(capacity * RequestKind.PART_KEPT, capacity - 1);
+      return Math.min(capacity * RequestKind.RESERVED_FRACTION, capacity - 1);
     }
   },
   /** A request of a program that has begun. */
@@ -21,7 +21,7 @@
   };
 
   /** The part of a bucket that is kept for programs that have begun. */
-  private static final double PART_KEPT = 0.5;
+  private static final double RESERVED_FRACTION = 0.5;
 
   /**
    * Tokens that must stay in the bucket of a tenant that is beyond its limit.
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RequestLimiter.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RequestLimiter.java
@@ -7,7 +7,7 @@
 @FunctionalInterface
 public interface RequestLimiter {
   /** Lets every request run. */
-  RequestLimiter NONE = (request, patienceMillis, answer) -> answer.accept(new Decision.Allowed());
+  RequestLimiter NONE = (request, timeoutMillis, answer) -> answer.accept(new Decision.Allowed());
 
   /** What was decided on a request. */
   sealed interface Decision {
@@ -39,8 +39,8 @@
    * Decides on one request.
    *
    * @param request what is known of it
-   * @param patienceMillis the longest time that the decision may take
+   * @param timeoutMillis the longest time that the decision may take
    * @param answer takes the decision, exactly once, possibly before this returns
    */
-  void decide(LimitedRequest request, long patienceMillis, Consumer<Decision> answer);
+  void decide(LimitedRequest request, long timeoutMillis, Consumer<Decision> answer);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RunningPrograms.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RunningPrograms.java
@@ -10,7 +10,7 @@
  */
 final class RunningPrograms {
   /** The rest of a program is most likely over when it was silent for several such spans. */
-  private static final double SPAN_NANOS = 5e8;
+  private static final double DECAY_NANOS = 5e8;
 
   /** The span over which a program's usual tokens and time are averaged. */
   private static final double AVERAGING_NANOS = 20e9;
@@ -19,7 +19,7 @@
    * Programs that began in a rush have nearly all of their time before them, and the time that they
    * take is seen too short while more begin than end.
    */
-  private static final double REST_PART_OF_LIFE = 1.5;
+  private static final double REMAINING_PART_OF_DURATION = 1.5;
 
   /** By so many standard deviations more programs than the rate serves may run by chance. */
   private static final double DEVIATIONS = 1;
@@ -29,7 +29,7 @@
   private double otherTokens;
   private double averagedTokens;
   private double averagedRunning;
-  private double beginningsPerSecond;
+  private double startsPerSecond;
   private long asOfNanos;
 
   /** Creates a view in which nothing runs. */
@@ -38,14 +38,14 @@
   }
 
   /** The tokens that a program that runs usually takes in a span. */
-  private double tokensEach() {
+  private double tokensPerProgram() {
     return averagedRunning > 0 ? averagedTokens / averagedRunning : 0;
   }
 
   /** How long programs go on asking: as many run as begin while one of them runs. */
-  private double restSeconds() {
-    double life = beginningsPerSecond > 0 ? averagedRunning / beginningsPerSecond : 0;
-    return life * REST_PART_OF_LIFE;
+  private double remainingSeconds() {
+    double durationSeconds = startsPerSecond > 0 ? averagedRunning / startsPerSecond : 0;
+    return durationSeconds * REMAINING_PART_OF_DURATION;
   }
 
   /** Lets the time come. */
@@ -55,11 +55,11 @@
     double weight = -Math.expm1(-nanos / AVERAGING_NANOS);
     averagedTokens += weight * (programTokens - averagedTokens);
     averagedRunning += weight * (running - averagedRunning);
-    beginningsPerSecond -= weight * beginningsPerSecond;
-    double left = Math.exp(-nanos / SPAN_NANOS);
-    running *= left;
-    programTokens *= left;
-    otherTokens *= left;
+    startsPerSecond -= weight * startsPerSecond;
+    double decay = Math.exp(-nanos / DECAY_NANOS);
+    running *= decay;
+    programTokens *= decay;
+    otherTokens *= decay;
   }
 
   /**
@@ -67,16 +67,16 @@
    *
    * @param silentNanos how long it had not been heard of; {@link Long#MAX_VALUE} if never
    */
-  void given(int tokens, long silentNanos) {
-    running -= Math.expm1(-silentNanos / SPAN_NANOS);
+  void recordGranted(int tokens, long silentNanos) {
+    running -= Math.expm1(-silentNanos / DECAY_NANOS);
     programTokens += tokens;
     if (silentNanos == Long.MAX_VALUE) {
-      beginningsPerSecond += 1 / (AVERAGING_NANOS * 1e-9);
+      startsPerSecond += 1 / (AVERAGING_NANOS * 1e-9);
     }
   }
 
   /** Notes tokens for requests that belong to no program. */
-  void givenToOthers(int tokens) {
+  void recordGrantedToOthers(int tokens) {
     otherTokens += tokens;
   }
 
@@ -87,16 +87,17 @@
    *
    * @param tokensPerSecond the limit's rate
    */
-  double neededForAnother(double tokensPerSecond) {
-    double each = tokensEach() / (SPAN_NANOS * 1e-9);
-    if (each <= 0) {
+  double tokensNeededForAnother(double tokensPerSecond) {
+    double tokensPerProgramSecond = tokensPerProgram() / (DECAY_NANOS * 1e-9);
+    if (tokensPerProgramSecond <= 0) {
       return 0;
     }
-    double others = otherTokens / (SPAN_NANOS * 1e-9);
-    double fitting = Math.max(0, tokensPerSecond - others) / each;
+    double otherTokensPerSecond = otherTokens / (DECAY_NANOS * 1e-9);
+    double sustainable =
+        Math.max(0, tokensPerSecond - otherTokensPerSecond) / tokensPerProgramSecond;
     double another = running + 1;
-    return another <= fitting + DEVIATIONS * Math.sqrt(fitting)
+    return another <= sustainable + DEVIATIONS * Math.sqrt(sustainable)
         ? 0
-        : (another - fitting) * each * restSeconds();
+        : (another - sustainable) * tokensPerProgramSecond * remainingSeconds();
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/SharedRequestLimiter.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/SharedRequestLimiter.java
@@ -36,19 +36,19 @@
   private static final long NO_HOLDER_RETRY_MILLIS = 20;
 
   /** Silent tries after which the rows of the leases are read again. */
-  private static final int TRIES_UNTIL_LOOK = 2;
+  private static final int ATTEMPTS_BEFORE_REREAD = 2;
 
   /** The part of the time for which tokens may be kept that a slice should last. */
-  private static final double SLICE_PART_OF_HOLD = 0.5;
+  private static final double SLICE_FRACTION_OF_HOLD = 0.5;
 
   /** More tokens are never given in one answer. */
   private static final int MAX_SLICE = 64;
 
   /** Answers that are kept so that a question that is doubled gets the same one. */
-  private static final int MAX_ANSWERS = 512;
+  private static final int MAX_SENT_REPLIES = 512;
 
   /** The span over which this node's own demand is averaged. */
-  private static final double DEMAND_NANOS = 1e9;
+  private static final double DEMAND_AVERAGING_NANOS = 1e9;
 
   private final PartitionLeases leases;
   private final PeerTransport transport;
@@ -60,45 +60,46 @@
   private final PeerLatency distance;
   private final GatewayMetrics metrics;
   private final Map<LimitPartition, HeldBuckets> buckets = new HashMap<>();
-  private final Map<TenantId, OwnUse> ownUse = new HashMap<>();
-  private final Map<Long, Question> questions = new HashMap<>();
-  private final Map<Asked, PeerMessage.LimitTokenReply> answers =
+  private final Map<TenantId, LocalDemand> localDemands = new HashMap<>();
+  private final Map<Long, TokenQuery> queries = new HashMap<>();
+  private final Map<QueryKey, PeerMessage.LimitTokenReply> sentReplies =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Asked, PeerMessage.LimitTokenReply> eldest) {
-          return size() > MAX_ANSWERS;
+        protected boolean removeEldestEntry(
+            Map.Entry<QueryKey, PeerMessage.LimitTokenReply> eldest) {
+          return size() > MAX_SENT_REPLIES;
         }
       };
-  private long lastQuestionId;
+  private long lastCorrelationId;
   private boolean started;
 
   /** A question of another node. */
-  private record Asked(PeerAddress sender, long questionId) {
+  private record QueryKey(PeerAddress sender, long correlationId) {
     @Override
     public boolean equals(Object other) {
-      return other instanceof Asked asked
-          && questionId == asked.questionId
-          && sender.equals(asked.sender);
+      return other instanceof QueryKey queryKey
+          && correlationId == queryKey.correlationId
+          && sender.equals(queryKey.sender);
     }
 
     @Override
     public int hashCode() {
-      return Long.hashCode(questionId) ^ sender.hashCode();
+      return Long.hashCode(correlationId) ^ sender.hashCode();
     }
   }
 
   /** What this node itself uses of a tenant's limit. */
-  private static final class OwnUse {
+  private static final class LocalDemand {
     private final TokenSlice slice = new TokenSlice();
     private double demand;
-    private long askedNanos;
+    private long updatedNanos;
 
     /** Notes a request and returns how many came lately, in one span of averaging. */
-    double asked(long nowNanos) {
-      demand = demand * Math.exp(-(nowNanos - askedNanos) / DEMAND_NANOS) + 1;
-      askedNanos = nowNanos;
+    double recordRequest(long nowNanos) {
+      demand = demand * Math.exp(-(nowNanos - updatedNanos) / DEMAND_AVERAGING_NANOS) + 1;
+      updatedNanos = nowNanos;
       return demand;
     }
   }
@@ -115,7 +116,7 @@
    * @param tenants the tenants of the configuration in force
    * @param proofs what proves the configuration; answers carry it along
    * @param distance how far the holders are
-   * @param firstQuestionId a random number, so that no question is like one of an earlier life
+   * @param firstCorrelationId a random number, so that no question is like one of an earlier life
    */
   @SuppressWarnings("ParameterNumber")
   public SharedRequestLimiter(
@@ -127,7 +128,7 @@
       Function<TenantId, Optional<Tenant>> tenants,
       ProofExchange proofs,
       PeerLatency distance,
-      long firstQuestionId,
+      long firstCorrelationId,
       GatewayMetrics metrics) {
     this.leases = leases;
     this.transport = transport;
@@ -135,7 +136,7 @@
     this.eventLoop = eventLoop;
     this.bounds = bounds;
     this.tenants = tenants;
-    this.lastQuestionId = firstQuestionId;
+    this.lastCorrelationId = firstCorrelationId;
     this.proofs = proofs;
     this.distance = distance;
     this.metrics = metrics;
@@ -168,7 +169,7 @@
   }
 
   @Override
-  public void decide(LimitedRequest request, long patienceMillis, Consumer<Decision> answer) {
+  public void decide(LimitedRequest request, long timeoutMillis, Consumer<Decision> answer) {
     Tenant tenant = request.tenant();
     if (tenant.limit().unlimited()) {
       answer.accept(new Decision.Allowed());
@@ -176,20 +177,20 @@
     }
     start();
     long now = eventLoop.nanoTime();
-    OwnUse use = ownUse.computeIfAbsent(tenant.id(), id -> new OwnUse());
-    double demand = use.asked(now);
-    if (use.slice.take(request.kind(), now)) {
+    LocalDemand localDemand = localDemands.computeIfAbsent(tenant.id(), id -> new LocalDemand());
+    double demand = localDemand.recordRequest(now);
+    if (localDemand.slice.take(request.kind(), now)) {
       metrics.limitCounted(LimitFigure.FROM_SLICE, 1);
-      answer.accept(new Decision.Allowed(use.slice.use()));
+      answer.accept(new Decision.Allowed(localDemand.slice.use()));
       return;
     }
-    double ahead = demand * (bounds.holdMillis() / 1e3) * SLICE_PART_OF_HOLD;
+    double ahead = demand * (bounds.holdMillis() / 1e3) * SLICE_FRACTION_OF_HOLD;
     int wanted = (int) Math.min(MAX_SLICE, 1 + ahead);
-    new Question(++lastQuestionId, request, wanted, patienceMillis, answer).proceed();
+    new TokenQuery(++lastCorrelationId, request, wanted, timeoutMillis, answer).proceed();
   }
 
   /** Decides from this node's own bucket; nothing if it does not hold the partition. */
-  private Optional<TokenDecision> decideHere(
+  private Optional<TokenDecision> decideLocally(
       Tenant tenant, RequestKind kind, int programHash, int wanted) {
     LimitPartition partition = LimitPartition.of(tenant.id());
     return leases
@@ -215,26 +216,26 @@
     if (message instanceof PeerMessage.LimitTokenRequest request) {
       reply(sender, request);
     } else if (message instanceof PeerMessage.LimitTokenReply reply) {
-      Question question = questions.get(reply.correlationId());
-      if (question != null) {
-        question.onReply(sender, reply);
+      TokenQuery query = queries.get(reply.correlationId());
+      if (query != null) {
+        query.onReply(sender, reply);
       }
     }
   }
 
   private void reply(PeerAddress sender, PeerMessage.LimitTokenRequest request) {
-    Asked asked = new Asked(sender, request.correlationId());
-    PeerMessage.LimitTokenReply reply = answers.get(asked);
+    QueryKey queryKey = new QueryKey(sender, request.correlationId());
+    PeerMessage.LimitTokenReply reply = sentReplies.get(queryKey);
     if (reply == null) {
-      reply = answerTo(request);
+      reply = replyTo(request);
       if (reply.outcome() == LimitTokenOutcome.GIVEN) {
-        answers.put(asked, reply);
+        sentReplies.put(queryKey, reply);
       }
     }
     transport.send(sender, codec.encode(reply.withProof(proofs.own())));
   }
 
-  private PeerMessage.LimitTokenReply answerTo(PeerMessage.LimitTokenRequest request) {
+  private PeerMessage.LimitTokenReply replyTo(PeerMessage.LimitTokenRequest request) {
     Tenant tenant = tenants.apply(request.tenant()).orElse(null);
     if (tenant == null || tenant.limit().unlimited()) {
       // Another configuration is in force there; it will not be so for long.
@@ -242,15 +243,15 @@
     }
     int wanted = Math.max(1, Math.min(MAX_SLICE, request.wanted()));
     RequestKind kind = request.firstTurn() ? RequestKind.FIRST_TURN : RequestKind.CONTINUING;
-    return decideHere(tenant, kind, request.programHash(), wanted)
+    return decideLocally(tenant, kind, request.programHash(), wanted)
         .map(decision -> replyOf(request.correlationId(), decision))
         .orElseGet(() -> PeerMessage.LimitTokenReply.notHeld(request.correlationId()));
   }
 
-  private PeerMessage.LimitTokenReply replyOf(long questionId, TokenDecision decision) {
+  private PeerMessage.LimitTokenReply replyOf(long correlationId, TokenDecision decision) {
     metrics.limitCounted(LimitFigure.GIVEN_TO_NODES, decision.tokens());
     return new PeerMessage.LimitTokenReply(
-        questionId,
+        correlationId,
         decision.tokens() > 0 ? LimitTokenOutcome.GIVEN : LimitTokenOutcome.REFUSED,
         decision.tokens(),
         decision.firstTurnsAllowed(),
@@ -261,38 +262,38 @@
   }
 
   /** A request that waits for a token. */
-  private final class Question {
+  private final class TokenQuery {
     private final long id;
     private final LimitedRequest request;
     private final LimitPartition partition;
     private final int wanted;
     private final Consumer<Decision> answer;
     private final long endNanos;
-    private PeerAddress asked;
+    private PeerAddress queriedHolder;
     private long firstSentNanos;
-    private int tries;
+    private int attempts;
     private EventLoop.Timer retry;
 
-    Question(
+    TokenQuery(
         long id,
         LimitedRequest request,
         int wanted,
-        long patienceMillis,
+        long timeoutMillis,
         Consumer<Decision> answer) {
       this.id = id;
       this.request = request;
       this.partition = LimitPartition.of(request.tenant().id());
       this.wanted = wanted;
       this.answer = answer;
-      this.endNanos = eventLoop.nanoTime() + patienceMillis * 1_000_000;
+      this.endNanos = eventLoop.nanoTime() + timeoutMillis * 1_000_000;
     }
 
     void proceed() {
-      Optional<TokenDecision> here =
-          decideHere(request.tenant(), request.kind(), request.programHash(), 1);
-      if (here.isPresent()) {
-        metrics.limitCounted(LimitFigure.FROM_OWN_BUCKET, here.get().tokens());
-        onDecision(here.get());
+      Optional<TokenDecision> local =
+          decideLocally(request.tenant(), request.kind(), request.programHash(), 1);
+      if (local.isPresent()) {
+        metrics.limitCounted(LimitFigure.FROM_OWN_BUCKET, local.get().tokens());
+        onDecision(local.get());
         return;
       }
       if (eventLoop.nanoTime() - endNanos >= 0) {
@@ -300,40 +301,40 @@
         end(new Decision.Undecided());
         return;
       }
-      questions.put(id, this);
+      queries.put(id, this);
       Optional<PeerAddress> holder = leases.holder(partition);
-      if (holder.isEmpty() || tries >= TRIES_UNTIL_LOOK) {
-        leases.want(partition);
+      if (holder.isEmpty() || attempts >= ATTEMPTS_BEFORE_REREAD) {
+        leases.requestLease(partition);
       }
       if (holder.isPresent()) {
-        ask(holder.get());
+        query(holder.get());
       } else {
         retryIn(NO_HOLDER_RETRY_MILLIS);
       }
     }
 
-    private void ask(PeerAddress holder) {
-      if (!holder.equals(asked)) {
-        asked = holder;
+    private void query(PeerAddress holder) {
+      if (!holder.equals(queriedHolder)) {
+        queriedHolder = holder;
         firstSentNanos = eventLoop.nanoTime();
       }
-      tries++;
-      boolean opening = request.kind() == RequestKind.FIRST_TURN;
+      attempts++;
+      boolean firstTurn = request.kind() == RequestKind.FIRST_TURN;
       transport.send(
           holder,
           codec.encode(
               new PeerMessage.LimitTokenRequest(
-                  id, wanted, opening, request.programHash(), request.tenant().id())));
-      retryIn(FIRST_RETRY_MILLIS * tries + distance.roundTripMillis(holder));
+                  id, wanted, firstTurn, request.programHash(), request.tenant().id())));
+      retryIn(FIRST_RETRY_MILLIS * attempts + distance.roundTripMillis(holder));
     }
 
     private void retryIn(long millis) {
-      long left = Math.max(1, (endNanos - eventLoop.nanoTime()) / 1_000_000);
-      retry = eventLoop.schedule(Math.min(millis, left), this::proceed);
+      long remaining = Math.max(1, (endNanos - eventLoop.nanoTime()) / 1_000_000);
+      retry = eventLoop.schedule(Math.min(millis, remaining), this::proceed);
     }
 
     void onReply(PeerAddress sender, PeerMessage.LimitTokenReply reply) {
-      if (!sender.equals(asked)) {
+      if (!sender.equals(queriedHolder)) {
         return;
       }
       reply.proof().ifPresent(proofs::onProof);
@@ -355,7 +356,8 @@
         return;
       }
       if (tokens > 1) {
-        TokenSlice slice = ownUse.computeIfAbsent(request.tenant().id(), key -> new OwnUse()).slice;
+        TokenSlice slice =
+            localDemands.computeIfAbsent(request.tenant().id(), key -> new LocalDemand()).slice;
         metrics.limitCounted(
             LimitFigure.LOST,
             slice.add(tokens - 1, expires, reply.firstTurnsAllowed(), reply.use(), now));
@@ -371,7 +373,7 @@
         end(new Decision.Exceeded(Math.max(1, decision.retryMillis()), decision.remaining()));
       } else if (decision.tokens() > 0 && decision.retryMillis() > 0) {
         metrics.limitCounted(LimitFigure.WAITED, 1);
-        questions.remove(id);
+        queries.remove(id);
         cancelRetry();
         eventLoop.schedule(decision.retryMillis(), () -> end(new Decision.Allowed(decision.use())));
       } else if (decision.tokens() > 0) {
@@ -384,7 +386,7 @@
 
     private void onNotHeld() {
       retry.cancel();
-      leases.want(partition);
+      leases.requestLease(partition);
       retryIn(NO_HOLDER_RETRY_MILLIS);
     }
 
@@ -395,7 +397,7 @@
     }
 
     private void end(Decision decision) {
-      questions.remove(id);
+      queries.remove(id);
       cancelRetry();
       answer.accept(decision);
     }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/TokenBucket.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/TokenBucket.java
@@ -12,7 +12,7 @@
  */
 final class TokenBucket {
   /** The span over which the demand is averaged: long against the gaps of a slow tenant. */
-  private static final double DEMAND_NANOS = 1e9;
+  private static final double DEMAND_AVERAGING_NANOS = 1e9;
 
   /** Requests that come by chance pass their mean by this many standard deviations rarely. */
   private static final double DEVIATIONS = 2;
@@ -22,7 +22,7 @@
    * loses by coming back. Requests of programs come in clumps, after which the rate brings what the
    * bucket lacks within such a wait.
    */
-  private static final double LONGEST_WAIT_SECONDS = 0.25;
+  private static final double MAX_WAIT_SECONDS = 0.25;
 
   private final double extraTokens;
   private RateLimit limit;
@@ -55,11 +55,11 @@
     tokens += nanos * 1e-9 * limit.requestsPerSecond();
     limit = current;
     tokens = Math.min(capacity(), tokens);
-    demand *= Math.exp(-nanos / DEMAND_NANOS);
+    demand *= Math.exp(-nanos / DEMAND_AVERAGING_NANOS);
   }
 
   /** Notes that tokens were asked for, given or not. */
-  void asked(int count) {
+  void recordDemand(int count) {
     demand += count;
   }
 
@@ -71,8 +71,8 @@
   }
 
   /** The most that it may owe: what the rate brings while a request may wait for its token. */
-  private double mostDebt() {
-    return limit.requestsPerSecond() * LONGEST_WAIT_SECONDS;
+  private double maxDebt() {
+    return limit.requestsPerSecond() * MAX_WAIT_SECONDS;
   }
 
   /**
@@ -81,7 +81,7 @@
    * @return when it may be used, in milliseconds from now; negative if too many are owed
    */
   long lend() {
-    if (tokens - 1 < -mostDebt()) {
+    if (tokens - 1 < -maxDebt()) {
       return -1;
     }
     tokens -= 1;
@@ -92,8 +92,8 @@
    * Owes what the bucket of another holder may have lent before it ended, so that what both give
    * stays within the rate.
    */
-  void oweWhatAnotherMayHaveLent() {
-    tokens -= mostDebt();
+  void deductPossibleLoans() {
+    tokens -= maxDebt();
   }
 
   double tokens() {
@@ -101,14 +101,14 @@
   }
 
   /** Whether more was asked for lately than the limit allows for long, chance set aside. */
-  boolean overdrawn() {
-    double allowed = limit.requestsPerSecond() * (DEMAND_NANOS * 1e-9);
+  boolean demandExceedsLimit() {
+    double allowed = limit.requestsPerSecond() * (DEMAND_AVERAGING_NANOS * 1e-9);
     return demand > allowed + DEVIATIONS * Math.sqrt(allowed);
   }
 
   /** What was asked for lately; chance brings it above the limit rarely. */
   LimitUse use() {
-    double allowed = limit.requestsPerSecond() * (DEMAND_NANOS * 1e-9);
+    double allowed = limit.requestsPerSecond() * (DEMAND_AVERAGING_NANOS * 1e-9);
     double certain = demand - DEVIATIONS * Math.sqrt(allowed);
     return new LimitUse(Math.max(Math.min(demand, allowed), certain) / allowed);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/TokenSlice.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/TokenSlice.java
@@ -6,7 +6,7 @@
 final class TokenSlice {
   private int tokens;
   private long expiresNanos;
-  private boolean openingsAllowed;
+  private boolean firstTurnsAllowed;
   private LimitUse use = LimitUse.UNKNOWN;
 
   /** Takes one token if there is one for a request of the kind. */
@@ -14,7 +14,7 @@
     if (tokens == 0 || nowNanos - expiresNanos >= 0) {
       return false;
     }
-    if (kind == RequestKind.FIRST_TURN && !openingsAllowed) {
+    if (kind == RequestKind.FIRST_TURN && !firstTurnsAllowed) {
       return false;
     }
     tokens--;
@@ -30,16 +30,16 @@
    * Adds tokens.
    *
    * @param expires when the added ones are over; those that were left may end earlier by it
-   * @param told what the tenant asked for lately
+   * @param newUse what the tenant asked for lately
    * @return tokens that were over and are lost
    */
-  int add(int added, long expires, boolean allowed, LimitUse told, long nowNanos) {
-    use = told;
-    boolean over = nowNanos - expiresNanos >= 0;
-    int lost = over ? tokens : 0;
-    expiresNanos = over || tokens == 0 || expires - expiresNanos < 0 ? expires : expiresNanos;
-    tokens = added + (over ? 0 : tokens);
-    openingsAllowed = allowed;
+  int add(int added, long expires, boolean allowed, LimitUse newUse, long nowNanos) {
+    use = newUse;
+    boolean expired = nowNanos - expiresNanos >= 0;
+    int lost = expired ? tokens : 0;
+    expiresNanos = expired || tokens == 0 || expires - expiresNanos < 0 ? expires : expiresNanos;
+    tokens = added + (expired ? 0 : tokens);
+    firstTurnsAllowed = allowed;
     return lost;
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/ConfigurationFreshness.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/ConfigurationFreshness.java
@@ -16,13 +16,13 @@
  */
 public final class ConfigurationFreshness {
   private final EventLoop eventLoop;
-  private final List<Waiting> waiting = new ArrayList<>();
-  private Runnable comparison = () -> {};
+  private final List<Waiter> waiters = new ArrayList<>();
+  private Runnable check = () -> {};
   private boolean recordProof;
   private long provenNanos;
 
   /** Somebody who needs the configuration to be proven as of some moment. */
-  private record Waiting(long sinceNanos, Consumer<Boolean> answer, EventLoop.Timer timeout) {}
+  private record Waiter(long sinceNanos, Consumer<Boolean> answer, EventLoop.Timer timeout) {}
 
   /**
    * Creates a freshness of which nothing is known.
@@ -36,15 +36,15 @@
   /**
    * Sets how the configuration is compared with the store's without waiting for changes.
    *
-   * @param comparison begins a comparison; its result is told by {@link #proven}
+   * @param newCheck begins a comparison; its result is told by {@link #proven}
    */
-  public void setCheck(Runnable comparison) {
-    this.comparison = comparison;
+  public void setCheck(Runnable newCheck) {
+    this.check = newCheck;
   }
 
   /** Has the configuration compared with the store's now. */
   public void check() {
-    comparison.run();
+    check.run();
   }
 
   /**
@@ -58,19 +58,19 @@
     }
     recordProof = true;
     provenNanos = nanos;
-    List<Waiting> satisfied = new ArrayList<>();
-    for (Iterator<Waiting> each = waiting.iterator(); each.hasNext(); ) {
-      Waiting candidate = each.next();
+    List<Waiter> satisfied = new ArrayList<>();
+    for (Iterator<Waiter> each = waiters.iterator(); each.hasNext(); ) {
+      Waiter candidate = each.next();
       if (provenSince(candidate.sinceNanos())) {
         each.remove();
         satisfied.add(candidate);
       }
     }
-    for (Waiting each : satisfied) {
+    for (Waiter each : satisfied) {
       each.timeout().cancel();
       each.answer().accept(true);
     }
-    if (!waiting.isEmpty()) {
+    if (!waiters.isEmpty()) {
       check();
     }
   }
@@ -107,16 +107,16 @@
       answer.accept(true);
       return;
     }
-    Waiting[] self = new Waiting[1];
-    EventLoop.Timer timeout = eventLoop.schedule(timeoutMillis, () -> onTimeout(self[0]));
-    self[0] = new Waiting(sinceNanos, answer, timeout);
-    waiting.add(self[0]);
+    Waiter[] waiter = new Waiter[1];
+    EventLoop.Timer timeout = eventLoop.schedule(timeoutMillis, () -> onTimeout(waiter[0]));
+    waiter[0] = new Waiter(sinceNanos, answer, timeout);
+    waiters.add(waiter[0]);
     check();
   }
 
-  private void onTimeout(Waiting late) {
-    if (waiting.remove(late)) {
-      late.answer().accept(false);
+  private void onTimeout(Waiter waiter) {
+    if (waiters.remove(waiter)) {
+      waiter.answer().accept(false);
     }
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/KeyAuthenticator.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/KeyAuthenticator.java
@@ -19,21 +19,21 @@
   private static final long CHECK_MILLIS = 200;
 
   /** Keys that were ruled out and are remembered; all are forgotten beyond this. */
-  private static final int MAX_RULED_OUT = 2_048;
+  private static final int MAX_REJECTED = 2_048;
 
   private final Supplier<TenantDirectory> directory;
   private final ConfigurationFreshness freshness;
   private final Bounds bounds;
-  private final Set<ApiKey> ruledOut = new LinkedHashSet<>();
+  private final Set<ApiKey> rejected = new LinkedHashSet<>();
   private TenantDirectory lastDirectory = TenantDirectory.NONE;
 
   /**
    * How old the proof of the configuration may be.
    *
    * @param acceptMillis before the arrival of a request whose key is accepted
-   * @param ruleOutMillis before the arrival of a request whose key was ruled out earlier
+   * @param rejectMillis before the arrival of a request whose key was ruled out earlier
    */
-  public record Bounds(long acceptMillis, long ruleOutMillis) {
+  public record Bounds(long acceptMillis, long rejectMillis) {
     /**
      * For how long the store's feed may be silent about changes before it says that it has
      * forgotten its history.
@@ -44,10 +44,10 @@
     private static final long MARGIN_MILLIS = 100;
 
     /** What is left of a bound that is hardly longer than the feed's silence. */
-    private static final double LEAST_PART_OF_REVOCATION = 0.25;
+    private static final double MIN_FRACTION_OF_REVOCATION = 0.25;
 
     /** The part of the time within which a new key must work everywhere. */
-    private static final double PART_OF_APPLY = 0.5;
+    private static final double APPLY_FRACTION = 0.5;
 
     /**
      * Derives the bounds from the operator's.
@@ -57,9 +57,9 @@
      */
     public static Bounds of(long revocationMillis, long applyMillis) {
       long acceptMillis = revocationMillis - FEED_SILENCE_MILLIS - MARGIN_MILLIS;
-      long leastMillis = Math.round(revocationMillis * LEAST_PART_OF_REVOCATION);
+      long leastMillis = Math.round(revocationMillis * MIN_FRACTION_OF_REVOCATION);
       return new Bounds(
-          Math.max(leastMillis, acceptMillis), Math.round(applyMillis * PART_OF_APPLY));
+          Math.max(leastMillis, acceptMillis), Math.round(applyMillis * APPLY_FRACTION));
     }
   }
 
@@ -111,56 +111,58 @@
       answer.accept(undecided(ageMillis));
       return;
     }
-    rememberDropped();
-    KeyDecision known = known(key);
+    rejectRemovedKeys();
+    KeyDecision known = lookUp(key);
     if (known != null) {
       answer.accept(known);
-    } else if (ruledOut.contains(key) && ageMillis <= bounds.ruleOutMillis()) {
+    } else if (rejected.contains(key) && ageMillis <= bounds.rejectMillis()) {
       answer.accept(new KeyDecision.Rejected());
     } else {
       freshness.await(
-          receivedNanos, CHECK_MILLIS, proven -> answer.accept(checked(key, proven, ageMillis)));
+          receivedNanos,
+          CHECK_MILLIS,
+          proven -> answer.accept(decideAfterCheck(key, proven, ageMillis)));
     }
   }
 
-  private KeyDecision known(ApiKey key) {
+  private KeyDecision lookUp(ApiKey key) {
     if (key == null) {
       return new KeyDecision.Rejected();
     }
     return directory.get().findByKey(key).map(KeyDecision.Accepted::new).orElse(null);
   }
 
-  private KeyDecision checked(ApiKey key, boolean proven, long ageMillis) {
+  private KeyDecision decideAfterCheck(ApiKey key, boolean proven, long ageMillis) {
     if (!proven) {
       return undecided(ageMillis);
     }
-    rememberDropped();
-    KeyDecision known = known(key);
+    rejectRemovedKeys();
+    KeyDecision known = lookUp(key);
     if (known == null) {
-      ruleOut(key);
+      reject(key);
     }
     return Objects.requireNonNullElseGet(known, KeyDecision.Rejected::new);
   }
 
   /** Keys that a newer configuration no longer holds need no question to the store. */
-  private void rememberDropped() {
+  private void rejectRemovedKeys() {
     TenantDirectory current = directory.get();
     if (current == lastDirectory) {
       return;
     }
     for (ApiKey key : lastDirectory.keys()) {
       if (current.findByKey(key).isEmpty()) {
-        ruleOut(key);
+        reject(key);
       }
     }
     lastDirectory = current;
   }
 
-  private void ruleOut(ApiKey key) {
-    if (ruledOut.size() >= MAX_RULED_OUT) {
-      ruledOut.clear();
+  private void reject(ApiKey key) {
+    if (rejected.size() >= MAX_REJECTED) {
+      rejected.clear();
     }
-    ruledOut.add(key);
+    rejected.add(key);
   }
 
   private static KeyDecision undecided(long ageMillis) {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/budget/TestBudgetRow.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/budget/TestBudgetRow.java
@@ -13,18 +13,18 @@
   private static final BudgetRow ROW = new BudgetRow(12_345, -987_654_321L);
 
   @Test
-  void theRowOfProductionIsReadAndWritten() {
+  void rowOfProductionIsDecodedAndEncodedUnchanged() {
     assertEquals(ROW, BudgetRow.decode(RECORDED));
     assertArrayEquals(RECORDED, ROW.encode());
   }
 
   @Test
-  void whatALaterBuildAddsIsPassedOver() {
+  void bytesAppendedByALaterVersionAreIgnored() {
     assertEquals(ROW, BudgetRow.decode(Arrays.copyOf(RECORDED, RECORDED.length + 9)));
   }
 
   @Test
-  void otherBytesAreRefused() {
+  void invalidBytesAreRejected() {
     byte[] cut = Arrays.copyOf(RECORDED, RECORDED.length - 1);
     assertThrows(IllegalArgumentException.class, () -> BudgetRow.decode(cut));
     byte[] otherFormat = RECORDED.clone();
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/budget/TestProgramBudgets.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/budget/TestProgramBudgets.java
@@ -23,7 +23,7 @@
 class TestProgramBudgets {
   private static final String PROGRAM = "p";
   private static final int TURN = 500;
-  private static final long PATIENCE_MILLIS = 5_000;
+  private static final long TIMEOUT_MILLIS = 5_000;
 
   private final TestingEventLoop eventLoop = new TestingEventLoop();
   private final TestingStore store = new TestingStore(eventLoop);
@@ -33,7 +33,7 @@
       new ProgramBudgets(store, eventLoop, new GrantIds(2_000), GrantSource.NONE);
 
   private Reservation reserve(ProgramBudgets budgets, long budget) {
-    long giveUp = eventLoop.nanoTime() + PATIENCE_MILLIS * 1_000_000;
+    long giveUp = eventLoop.nanoTime() + TIMEOUT_MILLIS * 1_000_000;
     return budgets.reserve(PROGRAM, budget, TURN, giveUp, () -> {});
   }
 
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void grantsAheadSoThatTheNextTurnsNeedNoCall() {
+  void grantsAheadSoThatLaterTurnsNeedNoStoreCall() {
     Reservation turn = reserve(first, 10_000);
     eventLoop.advance(10);
     assertEquals(ReservationStatus.GRANTED, turn.status());
@@ -54,46 +54,46 @@
   }
 
   @Test
-  void aProgramThatComesFromAnotherProcessBringsWhatIsLeftOfItsGrant() {
+  void takeoverTransfersTheRemainingGrant() {
     TestingHandover handover = new TestingHandover(eventLoop, new Random(5));
-    ProgramBudgets left = node(store, eventLoop, handover, 10_000);
-    ProgramBudgets taking = node(store, eventLoop, handover, 20_000);
-    Reservation turn = reserve(left, 10_000);
+    ProgramBudgets previousHolder = node(store, eventLoop, handover, 10_000);
+    ProgramBudgets newHolder = node(store, eventLoop, handover, 20_000);
+    Reservation turn = reserve(previousHolder, 10_000);
     eventLoop.advance(50);
     turn.use(100);
     turn.close();
-    Reservation next = reserve(taking, 10_000);
+    Reservation next = reserve(newHolder, 10_000);
     eventLoop.advance(50);
     assertEquals(ReservationStatus.GRANTED, next.status());
     assertEquals(1, store.transactions());
   }
 
   @Test
-  void whoGaveItsTokensUpAsksTheOtherBeforeItCallsTheBudgetSpent() {
+  void processThatReleasedItsTokensQueriesThePeerBeforeItRefuses() {
     TestingHandover handover = new TestingHandover(eventLoop, new Random(5));
-    ProgramBudgets left = node(store, eventLoop, handover, 10_000);
-    ProgramBudgets taking = node(store, eventLoop, handover, 20_000);
+    ProgramBudgets previousHolder = node(store, eventLoop, handover, 10_000);
+    ProgramBudgets newHolder = node(store, eventLoop, handover, 20_000);
     int budget = 3 * TURN;
-    reserve(left, budget).close();
+    reserve(previousHolder, budget).close();
     eventLoop.advance(50);
     for (int i = 0; i < 3; i++) {
-      Reservation turn = reserve(taking, budget);
+      Reservation turn = reserve(newHolder, budget);
       eventLoop.advance(50);
       turn.use(i < 2 ? TURN : 0);
       turn.close();
     }
     assertEquals(budget, grantedInStore());
-    Reservation back = reserve(left, budget);
+    Reservation back = reserve(previousHolder, budget);
     eventLoop.advance(50);
     assertEquals(ReservationStatus.GRANTED, back.status());
   }
 
   @Test
-  void aBudgetThatIsGrantedWholeIsNotSpentWhileTheOtherHasTokensOfIt() {
+  void fullyGrantedBudgetIsNotExhaustedWhileAPeerHasTokens() {
     TestingHandover handover = new TestingHandover(eventLoop, new Random(5));
-    ProgramBudgets left = node(store, eventLoop, handover, 10_000);
-    ProgramBudgets taking = node(store, eventLoop, handover, 20_000);
-    for (ProgramBudgets budgets : List.of(left, taking, left)) {
+    ProgramBudgets previousHolder = node(store, eventLoop, handover, 10_000);
+    ProgramBudgets newHolder = node(store, eventLoop, handover, 20_000);
+    for (ProgramBudgets budgets : List.of(previousHolder, newHolder, previousHolder)) {
       Reservation turn = reserve(budgets, TURN);
       eventLoop.advance(50);
       assertEquals(ReservationStatus.GRANTED, turn.status());
@@ -115,7 +115,7 @@
   }
 
   @Test
-  void aGrantWhoseCallWasMadeTwiceCountsOnce() {
+  void duplicatedGrantCallCountsOnce() {
     ProgramBudgets doubled =
         new ProgramBudgets(
             new DoublingStore(store), eventLoop, new GrantIds(3_000), GrantSource.NONE);
@@ -127,7 +127,7 @@
   }
 
   @Test
-  void refusesOnceTheBudgetIsGranted() {
+  void refusesOnceTheBudgetIsFullyGranted() {
     for (int i = 0; i < 2; i++) {
       Reservation turn = reserve(first, 900);
       eventLoop.advance(10);
@@ -155,8 +155,8 @@
   }
 
   @Test
-  void recognisesItsOwnGrantAfterALostAnswer() {
-    store.fault(Fault.LOSE_ANSWER);
+  void recognizesItsOwnGrantAfterALostResponse() {
+    store.fault(Fault.LOSE_RESPONSE);
     Reservation turn = reserve(first, 10_000);
     eventLoop.advance(500);
     store.fault(Fault.NONE);
@@ -166,8 +166,8 @@
   }
 
   @Test
-  void aLateCopyOfAGrantCannotApplyAfterTheNext() {
-    store.fault(Fault.DO_LATE);
+  void lateCopyOfAGrantIsNotAppliedAfterTheNext() {
+    store.fault(Fault.APPLY_LATE);
     Reservation turn = reserve(first, 10_000);
     eventLoop.advance(500);
     store.fault(Fault.NONE);
@@ -177,15 +177,15 @@
   }
 
   @Test
-  void tellsThatTheStoreIsUnavailable() {
+  void reportsThatTheStoreIsUnavailable() {
     store.fault(Fault.REFUSE);
     Reservation turn = reserve(first, 10_000);
-    eventLoop.advance(PATIENCE_MILLIS + 100);
+    eventLoop.advance(TIMEOUT_MILLIS + 100);
     assertEquals(ReservationStatus.UNAVAILABLE, turn.status());
   }
 
   @Test
-  void aGrantedAllowanceServesWhileTheStoreIsAway() {
+  void grantedTokensServeTurnsDuringAStoreOutage() {
     Reservation turn = reserve(first, 10_000);
     eventLoop.advance(10);
     turn.close();
@@ -224,11 +224,11 @@
   }
 
   @Test
-  void neverHandsOutMoreThanOneTurnBeyondTheBudgetUnderFaults() {
+  void neverUsesMoreThanOneTurnBeyondTheBudgetUnderFaults() {
     for (int seed = 0; seed < 300; seed++) {
       long budget = 3_000;
-      long handed = handedOutUnderFaults(seed, budget);
-      assertTrue(handed <= budget + TURN, "seed " + seed + " handed out " + handed);
+      long totalUsed = tokensUsedUnderFaults(seed, budget);
+      assertTrue(totalUsed <= budget + TURN, "seed " + seed + " handed out " + totalUsed);
     }
   }
 
@@ -240,7 +240,7 @@
     return budgets;
   }
 
-  private static long handedOutUnderFaults(int seed, long budget) {
+  private static long tokensUsedUnderFaults(int seed, long budget) {
     Random random = new Random(seed);
     TestingEventLoop loop = new TestingEventLoop();
     TestingStore faulty = new TestingStore(loop);
@@ -250,7 +250,7 @@
       nodes.add(node(faulty, loop, handover, i * 1_000_000L));
     }
     List<Reservation> turns = new ArrayList<>();
-    long[] handed = {0};
+    long[] totalUsed = {0};
     for (int step = 0; step < 60; step++) {
       faulty.fault(Fault.values()[random.nextInt(Fault.values().length)]);
       int node = random.nextInt(nodes.size());
@@ -265,12 +265,12 @@
         if (turn.status() == ReservationStatus.GRANTED) {
           int used = random.nextInt(TURN + 1);
           turn.use(used);
-          handed[0] += used;
+          totalUsed[0] += used;
           turn.close();
           turns.remove(turn);
         }
       }
     }
-    return handed[0];
+    return totalUsed[0];
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/handover/TestHolderDirectory.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/handover/TestHolderDirectory.java
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void everyNodeFindsWhoServedAProgramLast() {
+  void everyNodeFindsTheLastHolder() {
     startAll();
     for (int i = 0; i < PROGRAMS; i++) {
       ProgramId program = new ProgramId("p" + i);
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void aProgramIsFoundWithinItsRegionWithoutAskingAnother() {
+  void holderIsFoundWithoutAQueryToAnotherRegion() {
     startInTwoRegions();
     for (int from = 0; from < NODES; from++) {
       for (int to = 1 - from % 2; to < NODES; to += 2) {
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void aProgramThatNobodyServedHasNoHolder() {
+  void programThatNoNodeServedHasNoHolder() {
     startAll();
     for (int node = 0; node < NODES; node++) {
       assertEquals(Optional.empty(), locate(node, new ProgramId("new")));
@@ -124,7 +124,7 @@
   }
 
   @Test
-  void aRegistrarThatIsGoneCostsOneShortWaitAndIsThenLeftAlone() {
+  void unreachableRegistrarCostsOneShortWaitAndIsThenSkipped() {
     startAll();
     network.detach(addresses.get(4));
     int waited = 0;
@@ -141,7 +141,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 129, 5_000})
-  void anIdentifierThatDoesNotFitADatagramIsLeftOut(int length) {
+  void identifierThatDoesNotFitIntoADatagramIsNotAnnounced(int length) {
     startAll();
     ProgramId program = new ProgramId("x".repeat(length));
     nodes.get(1).announceHolder(program);
@@ -178,7 +178,7 @@
    */
   @ParameterizedTest
   @EnumSource(Stray.class)
-  void strayMessagesChangeAtMostWhoIsAskedFirst(Stray stray) {
+  void strayMessagesOnlyChangeWhichNodeIsQueriedFirst(Stray stray) {
     startAll();
     PeerAddress gone = new PeerAddress("10.0.9.9", 7_000);
     ProgramId program = new ProgramId("p");
@@ -189,11 +189,12 @@
       addresses.forEach(to -> network.transportOf(gone).send(to, datagram));
     }
     eventLoop.advance(10);
-    Optional<PeerAddress> nobody = Optional.empty();
+    Optional<PeerAddress> noHolder = Optional.empty();
     Optional<PeerAddress> sender = Optional.of(gone);
-    assertTrue(Set.of(Optional.of(addresses.get(1)), sender, nobody).contains(locate(0, program)));
+    assertTrue(
+        Set.of(Optional.of(addresses.get(1)), sender, noHolder).contains(locate(0, program)));
     nodes.get(2).announceHolder(program);
     eventLoop.advance(10);
-    assertTrue(Set.of(Optional.of(addresses.get(2)), nobody).contains(locate(0, program)));
+    assertTrue(Set.of(Optional.of(addresses.get(2)), noHolder).contains(locate(0, program)));
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/history/TestKeptTurnCodec.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/history/TestStoredTurnCodec.java
@@ -8,7 +8,7 @@
 import org.baykeel.gateway.testing.RecordedBytes;
 import org.junit.jupiter.api.Test;
 
-class TestKeptTurnCodec {
+class TestStoredTurnCodec {
   private static final int VALUE_BYTES = 16;
   private static final RecordedBytes RECORDED = new RecordedBytes("rows.hex");
   private static final List<byte[]> VALUES =
@@ -21,8 +21,8 @@
   }
 
   @Test
-  void theRowsOfProductionAreReadAndWritten() {
-    assertEquals(VALUES.size(), StoredTurnCodec.pieces(VALUES.get(0)));
+  void rowsOfProductionAreDecodedAndEncodedUnchanged() {
+    assertEquals(VALUES.size(), StoredTurnCodec.pieceCount(VALUES.get(0)));
     StoredTurn turn = StoredTurnCodec.decode("t3", VALUES);
     assertIsTheTurn(turn);
     List<byte[]> written = StoredTurnCodec.encode(turn, VALUE_BYTES);
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void whatALaterBuildAddsIsPassedOver() {
+  void bytesAppendedByALaterVersionAreIgnored() {
     byte[] last = VALUES.get(1);
     byte[] longer = Arrays.copyOf(last, last.length + 3);
     assertIsTheTurn(StoredTurnCodec.decode("t3", List.of(VALUES.get(0), longer)));
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/history/TestTurnHistory.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/history/TestTurnHistory.java
@@ -32,11 +32,11 @@
     return new StoredTurn(id, ancestors, input, output);
   }
 
-  private Boolean keep(TurnHistory keeper, StoredTurn turn, long advanceMillis) {
-    AtomicReference<Boolean> kept = new AtomicReference<>();
-    keeper.save(turn, eventLoop.nanoTime() + 1_500_000_000L, kept::set);
+  private Boolean save(TurnHistory target, StoredTurn turn, long advanceMillis) {
+    AtomicReference<Boolean> saved = new AtomicReference<>();
+    target.save(turn, eventLoop.nanoTime() + 1_500_000_000L, saved::set);
     eventLoop.advance(advanceMillis);
-    return kept.get();
+    return saved.get();
   }
 
   private Lookup find(TurnHistory finder, String id) {
@@ -48,9 +48,9 @@
 
   @Test
   void anotherProcessFindsTheWholeChainInOrder() {
-    keep(history, turn("a", List.of(), 10), 10);
-    keep(history, turn("b", List.of("a"), 20), 10);
-    keep(history, turn("c", List.of("a", "b"), 30), 10);
+    save(history, turn("a", List.of(), 10), 10);
+    save(history, turn("b", List.of("a"), 20), 10);
+    save(history, turn("c", List.of("a", "b"), 30), 10);
     TurnHistory other = new TurnHistory(store, eventLoop, CACHE_BYTES, TurnSource.NONE);
     Lookup.Found found = assertInstanceOf(Lookup.Found.class, find(other, "c"));
     assertEquals(List.of("a", "b", "c"), found.chain().stream().map(StoredTurn::id).toList());
@@ -58,9 +58,9 @@
   }
 
   @Test
-  void aTurnLargerThanARowComesBackWhole() {
+  void turnLargerThanARowIsRestoredCompletely() {
     StoredTurn large = turn("x", List.of(), 150_000);
-    assertEquals(true, keep(history, large, 10));
+    assertEquals(true, save(history, large, 10));
     TurnHistory other = new TurnHistory(store, eventLoop, CACHE_BYTES, TurnSource.NONE);
     Lookup.Found found = assertInstanceOf(Lookup.Found.class, find(other, "x"));
     assertArrayEquals(large.input(), found.chain().get(0).input());
@@ -74,7 +74,7 @@
 
   @Test
   void aTurnThatCannotBeReadIsUnavailableAndNotAbsent() {
-    keep(history, turn("a", List.of(), 10), 10);
+    save(history, turn("a", List.of(), 10), 10);
     store.failReads(true);
     TurnHistory other = new TurnHistory(store, eventLoop, CACHE_BYTES, TurnSource.NONE);
     assertInstanceOf(Lookup.Unavailable.class, find(other, "a"));
@@ -83,7 +83,7 @@
   @Test
   void aReadFromAnOldStateDoesNotMakeATurnAbsent() {
     store.freezeReads(true);
-    keep(history, turn("a", List.of(), 10), 10);
+    save(history, turn("a", List.of(), 10), 10);
     TurnHistory other = new TurnHistory(store, eventLoop, CACHE_BYTES, TurnSource.NONE);
     assertInstanceOf(Lookup.Unavailable.class, find(other, "a"));
     store.freezeReads(false);
@@ -91,30 +91,30 @@
   }
 
   @Test
-  void keepingIsCertainOrNotClaimed() {
+  void savingSucceedsOnlyIfItIsCertain() {
     store.fault(Fault.REFUSE);
-    assertNull(keep(history, turn("a", List.of(), 10), 1_000), "still trying");
+    assertNull(save(history, turn("a", List.of(), 10), 1_000), "still trying");
     eventLoop.advance(2_000);
-    AtomicReference<Boolean> kept = new AtomicReference<>();
-    history.save(turn("b", List.of(), 10), eventLoop.nanoTime(), kept::set);
+    AtomicReference<Boolean> saved = new AtomicReference<>();
+    history.save(turn("b", List.of(), 10), eventLoop.nanoTime(), saved::set);
     eventLoop.advance(100);
-    assertEquals(false, kept.get());
+    assertEquals(false, saved.get());
   }
 
   @Test
-  void aLostAnswerIsSettledByTheNextTry() {
-    store.fault(Fault.LOSE_ANSWER);
-    AtomicReference<Boolean> kept = new AtomicReference<>();
-    history.save(turn("a", List.of(), 10), eventLoop.nanoTime() + 3_000_000_000L, kept::set);
+  void lostResponseIsResolvedByTheNextAttempt() {
+    store.fault(Fault.LOSE_RESPONSE);
+    AtomicReference<Boolean> saved = new AtomicReference<>();
+    history.save(turn("a", List.of(), 10), eventLoop.nanoTime() + 3_000_000_000L, saved::set);
     eventLoop.advance(500);
     store.fault(Fault.NONE);
     eventLoop.advance(1_000);
-    assertEquals(true, kept.get());
+    assertEquals(true, saved.get());
   }
 
   @Test
   void turnsInMemoryNeedNoRead() {
-    keep(history, turn("a", List.of(), 10), 10);
+    save(history, turn("a", List.of(), 10), 10);
     assertInstanceOf(Lookup.Found.class, find(history, "a"));
     assertEquals(0, store.reads());
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestLeaseRow.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestLeaseRow.java
@@ -11,7 +11,7 @@
   private static final byte[] RECORDED = new RecordedBytes("rows.hex").named("lease");
 
   @Test
-  void theRowOfProductionIsReadAndWritten() {
+  void rowOfProductionIsDecodedAndEncodedUnchanged() {
     LeaseRow row = new LeaseRow(new PeerAddress("10.1.0.38", 7380), 42, 1_700_000_000_123L);
     assertEquals(row, LeaseRow.decode(RECORDED));
     assertArrayEquals(RECORDED, row.encode());
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestLimitUnderLoad.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestLimitUnderLoad.java
@@ -24,7 +24,7 @@
   private static final long HOT_FROM_MILLIS = 20_000;
   private static final long HOT_UNTIL_MILLIS = 26_000;
   private static final long END_MILLIS = 32_000;
-  private static final int TIMES = 8;
+  private static final int HOT_FACTOR = 8;
 
   private final TestingEventLoop eventLoop = new TestingEventLoop();
   private Random random = new Random(1);
@@ -38,9 +38,9 @@
   /** What became of the programs of one tenant. */
   private final class Load {
     private final Tenant tenant;
-    private int asked;
-    private int begun;
-    private int broken;
+    private int offered;
+    private int started;
+    private int aborted;
     private int servedWhileHot;
 
     Load(String name) {
@@ -51,18 +51,18 @@
       this.tenant = TestingTenancy.tenant(name, rate, rate);
     }
 
-    void open() {
-      asked++;
-      begin(++lastProgram, RETRIES);
+    void startProgram() {
+      offered++;
+      sendFirstTurn(++lastProgram, RETRIES);
     }
 
-    private void begin(int program, int retriesLeft) {
+    private void sendFirstTurn(int program, int retriesLeft) {
       TokenDecision decision = decide(RequestKind.FIRST_TURN, program);
       if (decision.tokens() > 0) {
-        begun++;
+        started++;
         eventLoop.schedule(pauseMillis, () -> proceed(program, 1));
       } else if (retriesLeft > 0) {
-        eventLoop.schedule(decision.retryMillis(), () -> begin(program, retriesLeft - 1));
+        eventLoop.schedule(decision.retryMillis(), () -> sendFirstTurn(program, retriesLeft - 1));
       }
     }
 
@@ -73,7 +73,7 @@
       if (decide(RequestKind.CONTINUING, program).tokens() > 0) {
         eventLoop.schedule(pauseMillis, () -> proceed(program, request + 1));
       } else {
-        broken++;
+        aborted++;
       }
     }
 
@@ -94,32 +94,31 @@
     random = new Random(seed);
     startNanos = eventLoop.nanoTime();
     while (millis() < END_MILLIS) {
-      boolean rush = millis() >= HOT_FROM_MILLIS && millis() < HOT_UNTIL_MILLIS;
-      openAt(hot, USUAL_PROGRAMS_PER_SECOND * (rush ? TIMES : 1));
-      openAt(usual, USUAL_PROGRAMS_PER_SECOND);
+      boolean burst = millis() >= HOT_FROM_MILLIS && millis() < HOT_UNTIL_MILLIS;
+      startAt(hot, USUAL_PROGRAMS_PER_SECOND * (burst ? HOT_FACTOR : 1));
+      startAt(usual, USUAL_PROGRAMS_PER_SECOND);
       eventLoop.advance(1);
     }
   }
 
-  private void openAt(Load load, double programsPerSecond) {
+  private void startAt(Load load, double programsPerSecond) {
     if (random.nextDouble() < programsPerSecond / 1_000) {
-      load.open();
+      load.startProgram();
     }
   }
 
   @ParameterizedTest(name = "a request each {0} ms, seed {1}")
   @CsvSource({"250, 1", "250, 2", "250, 3", "250, 4", "100, 5", "100, 6", "800, 7", "800, 8"})
-  void aTenantAtEightTimesItsUsualPaysWithBeginningsAndNotWithProgramsThatRun(
-      long pause, long seed) {
+  void overloadedTenantLosesNewProgramsNotRunningOnes(long pause, long seed) {
     pauseMillis = pause;
     run(seed);
-    assertTrue(hot.begun < hot.asked, "begun " + hot.begun + " of " + hot.asked);
-    assertTrue(hot.broken <= 0.1 * hot.begun, "broken " + hot.broken + " of " + hot.begun);
+    assertTrue(hot.started < hot.offered, "begun " + hot.started + " of " + hot.offered);
+    assertTrue(hot.aborted <= 0.1 * hot.started, "broken " + hot.aborted + " of " + hot.started);
   }
 
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void aTenantAtEightTimesItsUsualStillGetsMostOfItsLimit(long seed) {
+  void overloadedTenantStillGetsMostOfItsLimit(long seed) {
     run(seed);
     double limit =
         hot.tenant.limit().requestsPerSecond() * (HOT_UNTIL_MILLIS - HOT_FROM_MILLIS) / 1_000;
@@ -128,60 +127,59 @@
 
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void anotherTenantIsUntouchedMeanwhile(long seed) {
+  void otherTenantIsNotAffectedByTheOverload(long seed) {
     run(seed);
-    assertEquals(usual.asked, usual.begun);
-    assertEquals(0, usual.broken);
+    assertEquals(usual.offered, usual.started);
+    assertEquals(0, usual.aborted);
   }
 
   /** Half of the limit for a minute, without a rush, also where few programs make up the limit. */
   @ParameterizedTest(name = "{0} programs a second, seed {1}")
   @CsvSource({"6, 1", "3, 2", "1, 3", "0.5, 4", "0.3, 5", "0.3, 6"})
-  void aTenantThatKeepsWithinItsLimitIsRefusedHardlyAnything(double perSecond, long seed) {
+  void tenantWithinItsLimitIsRarelyRefused(double perSecond, long seed) {
     Load load = new Load("steady", 2 * perSecond * REQUESTS);
     steady(load, perSecond, seed);
-    int lost = load.asked - load.begun + load.broken;
-    assertTrue(lost <= 0.1 * load.asked, lost + " of " + load.asked);
+    int lost = load.offered - load.started + load.aborted;
+    assertTrue(lost <= 0.1 * load.offered, lost + " of " + load.offered);
   }
 
   /** Nine tenths of the limit for a minute, without a rush. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void aTenantJustBelowItsLimitIsRefusedHardlyAnything(long seed) {
+  void tenantJustBelowItsLimitIsRarelyRefused(long seed) {
     Load load = new Load("steady", 6 * REQUESTS);
     steady(load, 6 * 0.9, seed);
-    int lost = load.asked - load.begun + load.broken;
-    assertTrue(lost <= 0.1 * load.asked, lost + " of " + load.asked);
+    int lost = load.offered - load.started + load.aborted;
+    assertTrue(lost <= 0.1 * load.offered, lost + " of " + load.offered);
   }
 
   private void steady(Load load, double programsPerSecond, long seed) {
     startNanos = eventLoop.nanoTime();
     random = new Random(seed);
     while (millis() < 60_000) {
-      openAt(load, programsPerSecond);
+      startAt(load, programsPerSecond);
       eventLoop.advance(1);
     }
   }
 
   /** One program asks for more than the rate, and the burst covers it. */
   @Test
-  void aProgramThatFitsIntoAFullBucketBeginsWhereverTheTenantsRateIsLow() {
+  void programThatFitsIntoAFullBucketStartsAtALowRate() {
     Load load = new Load("slow", 1);
     for (int i = 0; i < 5; i++) {
-      load.open();
+      load.startProgram();
       eventLoop.advance(20_000);
     }
-    assertEquals(5, load.begun);
-    assertEquals(0, load.broken);
+    assertEquals(5, load.started);
+    assertEquals(0, load.aborted);
   }
 
   @ParameterizedTest(name = "{0} times its limit: {1} to {2}")
   @CsvSource({"0.5, 0.3, 0.7", "1, 0.7, 1", "4, 3, 4.5", "8, 6.5, 9"})
-  void whatATenantAskedForLatelyIsToldInMultiplesOfItsLimit(
-      double times, double least, double most) {
+  void demandIsReportedInMultiplesOfTheLimit(double times, double least, double most) {
     Tenant tenant = TestingTenancy.tenant("t", 100, 100);
     double sum = 0;
-    int told = 0;
+    int decisions = 0;
     long end = eventLoop.nanoTime() + 8_000_000_000L;
     long settled = eventLoop.nanoTime() + 4_000_000_000L;
     while (eventLoop.nanoTime() < end) {
@@ -190,11 +188,11 @@
             buckets.decide(tenant, RequestKind.FIRST_TURN, 0, 1, eventLoop.nanoTime());
         boolean counts = eventLoop.nanoTime() > settled;
         sum += counts ? decision.use().multiple() : 0;
-        told += counts ? 1 : 0;
+        decisions += counts ? 1 : 0;
       }
       eventLoop.advance(1);
     }
-    double mean = sum / told;
+    double mean = sum / decisions;
     assertTrue(mean >= least && mean <= most, "told " + mean);
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestSharedRequestLimiter.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestSharedRequestLimiter.java
@@ -43,7 +43,7 @@
   private static final Tenant TENANT = TestingTenancy.tenant("t", 10, 10);
   private static final PeerAddress HOLDER = new PeerAddress("10.0.0.1", 7_000);
   private static final PeerAddress OTHER = new PeerAddress("10.0.0.2", 7_000);
-  private static final PeerAddress STRANGER = new PeerAddress("10.0.0.9", 7_000);
+  private static final PeerAddress UNKNOWN_NODE = new PeerAddress("10.0.0.9", 7_000);
   private static final int CAPACITY = 18;
 
   /** Tokens that the rate brings while a request may wait for one. */
@@ -103,7 +103,7 @@
     assertEquals(LimitPartition.COUNT, nodes.get(HOLDER).partitionsHeld());
   }
 
-  private void ask(PeerAddress node, int times) {
+  private void request(PeerAddress node, int times) {
     for (int i = 0; i < times; i++) {
       LimitedRequest request = new LimitedRequest(TENANT, RequestKind.CONTINUING, Optional.empty());
       nodes.get(node).decide(request, 900, decisions::add);
@@ -119,10 +119,10 @@
   }
 
   @Test
-  void bothNodesTogetherGetWhatTheBucketHolds() {
+  void bothNodesTogetherGetTheTokensOfTheBucket() {
     startBoth();
-    ask(OTHER, 30);
-    ask(HOLDER, 30);
+    request(OTHER, 30);
+    request(HOLDER, 30);
     eventLoop.advance(50);
     assertEquals(CAPACITY, allowed());
     eventLoop.advance(250);
@@ -136,17 +136,17 @@
 
   /** Deployments without tenants pay nothing for limits. */
   @Test
-  void nothingIsAskedOfTheStoreBeforeATenantHasALimit() {
+  void storeIsNotCalledBeforeATenantHasALimit() {
     create(OTHER);
     eventLoop.advance(5_000);
     assertEquals(0, store.reads() + store.transactions());
-    ask(OTHER, 1);
+    request(OTHER, 1);
     eventLoop.advance(500);
     assertEquals(1, allowed());
   }
 
   @Test
-  void aTenantWithoutALimitAsksNobody() {
+  void tenantWithoutALimitIsAllowedWithoutAQuery() {
     create(OTHER);
     Tenant free = TestingTenancy.tenant("free", 0, 0);
     nodes
@@ -158,27 +158,27 @@
     assertEquals(1, allowed());
   }
 
-  private double toldUse(int index) {
+  private double receivedUse(int index) {
     return ((Decision.Allowed) decisions.get(index)).use().multiple();
   }
 
   /** Five times the limit at the holder; the other node sees one request of it. */
   @Test
-  void eachNodeLearnsWhatATenantAskedForAtAllNodes() {
+  void eachNodeReceivesTheDemandOverAllNodes() {
     startBoth();
     for (int i = 0; i < 200; i++) {
-      ask(HOLDER, 1);
+      request(HOLDER, 1);
       eventLoop.advance(20);
     }
     eventLoop.advance(300);
     decisions.clear();
-    ask(OTHER, 1);
+    request(OTHER, 1);
     eventLoop.advance(300);
-    assertTrue(toldUse(0) > 2, "told " + toldUse(0));
+    assertTrue(receivedUse(0) > 2, "told " + receivedUse(0));
   }
 
   @Test
-  void aTokenOfASliceCarriesTheUseThatWasToldLast() {
+  void sliceReturnsTheDemandReceivedLast() {
     TokenSlice slice = new TokenSlice();
     slice.add(2, 400_000_000, true, new LimitUse(3), 0);
     slice.add(1, 400_000_000, true, new LimitUse(4), 0);
@@ -186,17 +186,17 @@
   }
 
   @Test
-  void ofATenantWithoutALimitNoUseIsKnown() {
+  void demandOfATenantWithoutALimitIsUnknown() {
     create(OTHER);
     Tenant free = TestingTenancy.tenant("free", 0, 0);
     LimitedRequest request = new LimitedRequest(free, RequestKind.FIRST_TURN, Optional.empty());
     nodes.get(OTHER).decide(request, 900, decisions::add);
-    assertEquals(LimitUse.UNKNOWN.multiple(), toldUse(0));
+    assertEquals(LimitUse.UNKNOWN.multiple(), receivedUse(0));
   }
 
   /** The answer as a node of the version before writes it: without the field at its end. */
   @Test
-  void theAnswerOfAnOlderNodeTellsNoUse() {
+  void replyOfAnOlderNodeHasNoDemand() {
     LimitTokenReply reply =
         new LimitTokenReply(
             7, LimitTokenOutcome.GIVEN, 2, true, 0, 3.5f, new LimitUse(4), Optional.empty());
@@ -213,41 +213,41 @@
 
   @ParameterizedTest
   @ValueSource(doubles = {Double.NaN, -1, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY})
-  void aUseThatIsNoneIsUnknown(double told) {
-    assertEquals(LimitUse.UNKNOWN, LimitUse.ofPeer(told));
+  void invalidDemandOfAPeerIsUnknown(double received) {
+    assertEquals(LimitUse.UNKNOWN, LimitUse.ofPeer(received));
   }
 
   @Test
-  void aNodeGivesItsLeasesBackWhenItStopsAndAnotherTakesThemAtOnce() {
+  void stoppingNodeReleasesItsLeasesAndAnotherTakesThemAtOnce() {
     startBoth();
     nodes.get(HOLDER).stop();
     eventLoop.advance(20);
-    ask(OTHER, 1);
+    request(OTHER, 1);
     eventLoop.advance(300);
     assertEquals(1, allowed());
   }
 
   @Test
-  void theBucketsOfADeadHolderAreTakenOverOnlyWhenItsLeaseIsOver() {
+  void bucketsOfADeadHolderAreNotTakenOverBeforeItsLeaseExpires() {
     startBoth();
     network.detach(HOLDER);
     network.cut(HOLDER, OTHER, true);
-    ask(OTHER, 1);
+    request(OTHER, 1);
     eventLoop.advance(1_000);
     assertInstanceOf(Decision.Undecided.class, decisions.get(0));
   }
 
   /** The rows are those of a node that died just after it had written them. */
   @Test
-  void aLeaseIsTakenOnlyWhenItIsCertainlyOver() {
+  void leaseIsTakenOnlyAfterItHasCertainlyExpired() {
     long expiresMillis = eventLoop.nanoTime() / 1_000_000 + PartitionLeases.LEASE_MILLIS;
-    byte[] row = new LeaseRow(STRANGER, 1, expiresMillis).encode();
+    byte[] row = new LeaseRow(UNKNOWN_NODE, 1, expiresMillis).encode();
     for (int i = 0; i < LimitPartition.COUNT; i++) {
       store.put(new RowAddress(PartitionLeases.TABLE, "", new LimitPartition(i).key()), row);
     }
     start(OTHER);
     for (int millis = 0; millis < 5_000; millis += 20) {
-      ask(OTHER, 1);
+      request(OTHER, 1);
       eventLoop.advance(20);
       boolean over = eventLoop.nanoTime() / 1_000_000 > expiresMillis;
       assertTrue(over || nodes.get(OTHER).partitionsHeld() == 0, "held at " + millis);
@@ -258,18 +258,18 @@
 
   /** What the other holder gave in between is not known; the bucket may have been emptied. */
   @Test
-  void aBucketThatWasElsewhereInBetweenBeginsNearlyEmpty() {
+  void bucketHeldElsewhereInBetweenStartsNearlyEmpty() {
     start(HOLDER);
     eventLoop.advance(3_000);
-    ask(HOLDER, 1);
-    byte[] row = new LeaseRow(STRANGER, 1, eventLoop.nanoTime() / 1_000_000 + 800).encode();
+    request(HOLDER, 1);
+    byte[] row = new LeaseRow(UNKNOWN_NODE, 1, eventLoop.nanoTime() / 1_000_000 + 800).encode();
     for (int i = 0; i < LimitPartition.COUNT; i++) {
       store.put(new RowAddress(PartitionLeases.TABLE, "", new LimitPartition(i).key()), row);
     }
     eventLoop.advance(700);
     assertEquals(0, nodes.get(HOLDER).partitionsHeld());
     decisions.clear();
-    ask(HOLDER, 30);
+    request(HOLDER, 30);
     eventLoop.advance(900);
     assertEquals(30, decisions.size());
     assertTrue(allowed() > 0 && allowed() < 10, "allowed " + allowed());
@@ -277,14 +277,14 @@
 
   @ParameterizedTest(name = "a token of a slice {0} ms later: usable {1}")
   @CsvSource({"0, true", "399, true", "400, false", "9000, false"})
-  void aTokenOfASliceIsUsedOnlyForAWhile(long laterMillis, boolean usable) {
+  void tokenOfASliceExpires(long laterMillis, boolean usable) {
     TokenSlice slice = new TokenSlice();
     slice.add(2, 400_000_000, true, LimitUse.UNKNOWN, 0);
     assertEquals(usable, slice.take(RequestKind.CONTINUING, laterMillis * 1_000_000));
   }
 
   @Test
-  void programsBeginWithASliceOnlyWhereItsHolderAllowsIt() {
+  void firstTurnsUseASliceOnlyIfItsHolderAllowsIt() {
     TokenSlice slice = new TokenSlice();
     slice.add(2, 400_000_000, false, LimitUse.UNKNOWN, 0);
     assertFalse(slice.take(RequestKind.FIRST_TURN, 0));
@@ -295,7 +295,7 @@
   }
 
   @Test
-  void aRestartedNodeTakesItsLeasesBackAndBeginsNearlyEmpty() {
+  void restartedNodeTakesItsLeasesBackWithNearlyEmptyBuckets() {
     startBoth();
     network.detach(HOLDER);
     eventLoop.advance(100);
@@ -303,7 +303,7 @@
     eventLoop.advance(100);
     assertEquals(LimitPartition.COUNT, nodes.get(HOLDER).partitionsHeld());
     decisions.clear();
-    ask(HOLDER, 30);
+    request(HOLDER, 30);
     assertEquals(0, allowed(), "the one before may have lent some");
     eventLoop.advance(250);
     assertEquals(2, allowed());
@@ -312,11 +312,11 @@
   }
 
   @Test
-  void aRequestWaitsForALentTokenAtAnotherNodeToo() {
+  void requestWaitsForALentTokenOfAnotherNode() {
     startBoth();
-    ask(HOLDER, CAPACITY);
+    request(HOLDER, CAPACITY);
     decisions.clear();
-    ask(OTHER, 1);
+    request(OTHER, 1);
     eventLoop.advance(80);
     assertEquals(0, decisions.size());
     eventLoop.advance(30);
@@ -325,9 +325,9 @@
 
   /** A request that has little time is told at once rather than after its time. */
   @Test
-  void nobodyWaitsLongerThanItMay() {
+  void requestIsRefusedAtOnceIfItsTokenComesTooLate() {
     startBoth();
-    ask(HOLDER, CAPACITY + 1);
+    request(HOLDER, CAPACITY + 1);
     decisions.clear();
     LimitedRequest request = new LimitedRequest(TENANT, RequestKind.CONTINUING, Optional.empty());
     nodes.get(HOLDER).decide(request, 50, decisions::add);
@@ -335,41 +335,41 @@
   }
 
   @Test
-  void aQuestionThatIsDoubledTakesNothingTwice() {
+  void duplicatedQueryTakesTokensOnce() {
     startBoth();
-    LimitTokenRequest question = new LimitTokenRequest(5, 3, false, 0, TENANT.id());
+    LimitTokenRequest query = new LimitTokenRequest(5, 3, false, 0, TENANT.id());
     for (int i = 0; i < 10; i++) {
-      deliver(STRANGER, HOLDER, question);
+      deliver(UNKNOWN_NODE, HOLDER, query);
     }
-    ask(HOLDER, 30);
+    request(HOLDER, 30);
     assertEquals(CAPACITY - 3, allowed());
   }
 
   @Test
-  void noQuestionTakesMoreThanAPartOfTheBucket() {
+  void queryTakesOnlyAFractionOfTheBucket() {
     startBoth();
-    deliver(STRANGER, HOLDER, new LimitTokenRequest(1, 65_000, false, 0, TENANT.id()));
-    deliver(STRANGER, HOLDER, new LimitTokenRequest(2, -7, false, 0, TENANT.id()));
-    ask(HOLDER, 30);
+    deliver(UNKNOWN_NODE, HOLDER, new LimitTokenRequest(1, 65_000, false, 0, TENANT.id()));
+    deliver(UNKNOWN_NODE, HOLDER, new LimitTokenRequest(2, -7, false, 0, TENANT.id()));
+    request(HOLDER, 30);
     assertTrue(allowed() >= CAPACITY * 0.6, "left " + allowed());
   }
 
   @Test
-  void questionsForTenantsThatNobodyKnowsChangeNothing() {
+  void queryForAnUnknownTenantHasNoEffect() {
     startBoth();
-    deliver(STRANGER, HOLDER, new LimitTokenRequest(1, 5, false, 0, new TenantId("nobody")));
-    ask(HOLDER, 30);
+    deliver(UNKNOWN_NODE, HOLDER, new LimitTokenRequest(1, 5, false, 0, new TenantId("nobody")));
+    request(HOLDER, 30);
     assertEquals(CAPACITY, allowed());
   }
 
   @Test
-  void answersThatNobodyAskedForGiveNothing() {
+  void unsolicitedRepliesGrantNothing() {
     startBoth();
-    ask(OTHER, 1);
+    request(OTHER, 1);
     for (long id = -3_000; id < 3_000; id++) {
       long guess = OTHER.hashCode() * 1_000L + id;
       deliver(
-          STRANGER,
+          UNKNOWN_NODE,
           OTHER,
           new LimitTokenReply(
               guess,
@@ -387,10 +387,10 @@
   }
 
   @Test
-  void anAnswerGivesNoMoreThanWasAskedFor() {
+  void replyGrantsNoMoreThanWasRequested() {
     startBoth();
     network.detach(HOLDER);
-    ask(OTHER, 1);
+    request(OTHER, 1);
     long id = OTHER.hashCode() * 1_000L + 1;
     deliver(
         HOLDER,
@@ -398,16 +398,16 @@
         new LimitTokenReply(
             id, LimitTokenOutcome.GIVEN, 60_000, true, 0, 0, LimitUse.UNKNOWN, Optional.empty()));
     assertEquals(1, allowed());
-    ask(OTHER, 20);
+    request(OTHER, 20);
     assertEquals(1, allowed());
   }
 
   /** A token is used only shortly after it was asked for, whatever delayed the answer. */
   @Test
-  void anAnswerThatIsLateGivesNothing() {
+  void lateReplyGrantsNothing() {
     startBoth();
     network.detach(HOLDER);
-    ask(OTHER, 1);
+    request(OTHER, 1);
     eventLoop.advance(450);
     long id = OTHER.hashCode() * 1_000L + 1;
     deliver(
@@ -420,7 +420,7 @@
 
   /** A stream of anything is no message, or one without effect. */
   @Test
-  void bytesOfAnyKindAreBorne() {
+  void corruptDatagramsAreTolerated() {
     startBoth();
     Random random = new Random(3);
     byte[] valid = codec.encode(new LimitTokenRequest(1, 1, false, 0, TENANT.id()));
@@ -431,41 +431,41 @@
         bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
       }
       byte[] cut = Arrays.copyOf(bytes, length);
-      codec.decode(cut).ifPresent(message -> deliver(STRANGER, HOLDER, message));
+      codec.decode(cut).ifPresent(message -> deliver(UNKNOWN_NODE, HOLDER, message));
     }
-    ask(HOLDER, 100);
+    request(HOLDER, 100);
     assertTrue(allowed() <= CAPACITY);
   }
 
   @Test
-  void aHolderThatCannotRenewStopsGivingWhenItsLeaseIsOver() {
+  void holderThatCannotRenewStopsGrantingWhenItsLeaseExpires() {
     startBoth();
     store.fault(TestingStore.Fault.REFUSE);
     eventLoop.advance(2_000);
-    ask(HOLDER, 1);
+    request(HOLDER, 1);
     assertEquals(1, allowed());
     eventLoop.advance(2_500);
     assertEquals(0, nodes.get(HOLDER).partitionsHeld());
     decisions.clear();
-    ask(HOLDER, 1);
+    request(HOLDER, 1);
     eventLoop.advance(1_000);
     assertInstanceOf(Decision.Undecided.class, decisions.get(0));
   }
 
   @Test
-  void renewalsThatAreDoneWithoutAnAnswerDoNotEndALease() {
+  void renewalsWithLostResponsesDoNotEndALease() {
     startBoth();
-    store.fault(TestingStore.Fault.LOSE_ANSWER);
+    store.fault(TestingStore.Fault.LOSE_RESPONSE);
     eventLoop.advance(1_000);
     store.fault(TestingStore.Fault.NONE);
     eventLoop.advance(3_500);
     assertEquals(LimitPartition.COUNT, nodes.get(HOLDER).partitionsHeld());
-    ask(HOLDER, 30);
+    request(HOLDER, 30);
     assertEquals(CAPACITY, allowed());
   }
 
   @Test
-  void aRowThatIsNoLeaseIsLeftAlone() {
+  void invalidLeaseRowIsIgnored() {
     store.put(new RowAddress(PartitionLeases.TABLE, "", "p3"), new byte[] {9});
     store.put(new RowAddress(PartitionLeases.TABLE, "", "p999"), new byte[] {1});
     store.put(new RowAddress(PartitionLeases.TABLE, "", "else"), new byte[] {1});
@@ -476,7 +476,7 @@
 
   /** The calls that many nodes make when nobody holds a partition. */
   @Test
-  void nodesThatWantTheSamePartitionWriteOneAfterTheOther() {
+  void nodesThatRequestTheSamePartitionWriteInSequence() {
     List<PeerAddress> all = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       all.add(new PeerAddress("10.0.1." + i, 7_000));
@@ -488,7 +488,7 @@
     }
     eventLoop.advance(200);
     int before = store.transactions();
-    all.forEach(address -> ask(address, 1));
+    all.forEach(address -> request(address, 1));
     eventLoop.advance(700);
     assertTrue(allowed() >= CAPACITY, "allowed " + allowed());
     assertTrue(allowed() <= CAPACITY + 7, "allowed " + allowed());
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestTokenBucket.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestTokenBucket.java
@@ -18,7 +18,7 @@
   private static final long SECOND = 1_000_000_000L;
 
   @Test
-  void givesItsBurstAndThenItsRate() {
+  void grantsItsBurstAndThenItsRate() {
     RateLimit limit = new RateLimit(10, 5);
     TokenBucket bucket = new TokenBucket(limit, 0, 100, 0);
     assertEquals(5, bucket.take(50));
@@ -30,7 +30,7 @@
 
   @ParameterizedTest(name = "rate {0}, burst {1}, {2} ms apart")
   @CsvSource({"10, 5, 7", "0.5, 0, 333", "264, 264, 1", "3, 40, 1000", "1000, 1, 3"})
-  void neverPassesBurstAndRate(double rate, double burst, long stepMillis) {
+  void neverExceedsBurstAndRate(double rate, double burst, long stepMillis) {
     RateLimit limit = new RateLimit(rate, burst);
     TokenBucket bucket = new TokenBucket(limit, 0, burst, 0);
     long taken = 0;
@@ -43,14 +43,14 @@
   }
 
   @Test
-  void holdsSomeBeyondASmallBurst() {
+  void holdsExtraTokensBeyondASmallBurst() {
     RateLimit limit = new RateLimit(4, 4);
     assertEquals(12, new TokenBucket(limit, 8, Double.MAX_VALUE, 0).take(50));
     assertEquals(2, new TokenBucket(limit, 8, 2, 0).take(50));
   }
 
   @Test
-  void aClockThatStandsStillFillsNothing() {
+  void stoppedClockDoesNotRefill() {
     RateLimit limit = new RateLimit(10, 5);
     TokenBucket bucket = new TokenBucket(limit, 0, 0, SECOND);
     bucket.advance(limit, SECOND);
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void aLowerLimitTakesTokensAwayAtOnce() {
+  void lowerLimitRemovesTokensAtOnce() {
     TokenBucket bucket = new TokenBucket(new RateLimit(100, 100), 0, 100, 0);
     bucket.advance(new RateLimit(2, 3), 0);
     assertEquals(3, bucket.take(100));
@@ -68,14 +68,14 @@
   }
 
   @Test
-  void tellsWhenThereWillBeTokens() {
+  void computesTheTimeUntilTokensAreAvailable() {
     TokenBucket bucket = new TokenBucket(new RateLimit(4, 8), 0, 0, 0);
     assertEquals(250, bucket.millisUntil(1));
     assertEquals(1_000, bucket.millisUntil(4));
   }
 
   @Test
-  void programsBeginOnlyWhileATenantBeyondItsLimitHasRoomForThoseThatRun() {
+  void tenantAboveItsLimitStartsProgramsOnlyIfRunningOnesGetTokens() {
     Tenant tenant = TestingTenancy.tenant("t", 20, 20);
     PartitionBuckets buckets = new PartitionBuckets(0, Double.MAX_VALUE, false);
     int opened = 0;
@@ -92,7 +92,7 @@
 
   /** A program that moved to another node, which takes it for a new one. */
   @Test
-  void aProgramThatHasBegunGoesOn() {
+  void startedProgramContinuesOnAnotherNode() {
     Tenant tenant = TestingTenancy.tenant("t", 20, 20);
     PartitionBuckets buckets = new PartitionBuckets(0, Double.MAX_VALUE, false);
     assertEquals(1, buckets.decide(tenant, RequestKind.FIRST_TURN, 7, 1, 0).tokens());
@@ -105,14 +105,14 @@
   }
 
   @Test
-  void aTenantBelowItsLimitMayBeginProgramsWithItsLastToken() {
+  void tenantBelowItsLimitMayStartAProgramWithItsLastToken() {
     Tenant tenant = TestingTenancy.tenant("t", 20, 20);
     PartitionBuckets buckets = new PartitionBuckets(0, 1, false);
     assertEquals(1, buckets.decide(tenant, RequestKind.FIRST_TURN, 0, 1, 0).tokens());
   }
 
   @Test
-  void aRefusalTellsWhenToComeBack() {
+  void refusalCarriesTheRetryDelay() {
     Tenant tenant = TestingTenancy.tenant("t", 10, 1);
     PartitionBuckets buckets = new PartitionBuckets(0, 0, false);
     assertEquals(100, buckets.decide(tenant, RequestKind.CONTINUING, 0, 1, 0).retryMillis());
@@ -129,7 +129,7 @@
 
   /** A program that has not begun has nothing to lose by coming back. */
   @Test
-  void aRequestThatBeginsAProgramDoesNotWaitForItsToken() {
+  void firstTurnDoesNotWaitForALentToken() {
     Tenant tenant = TestingTenancy.tenant("t", 10, 1);
     PartitionBuckets buckets = new PartitionBuckets(0, 0, false);
     assertEquals(0, buckets.decide(tenant, RequestKind.FIRST_TURN, 0, 1, 0).tokens());
@@ -137,8 +137,7 @@
 
   @ParameterizedTest(name = "rate {0}, burst {1}, {2} ms apart")
   @CsvSource({"10, 5, 7", "0.5, 0, 333", "264, 264, 1", "3, 40, 100", "43, 43, 5"})
-  void tokensThatAreLentAreUsedNoSoonerThanTheRateBringsThem(
-      double rate, double burst, long stepMillis) {
+  void lentTokensAreUsableOnlyWhenTheRateSuppliesThem(double rate, double burst, long stepMillis) {
     Tenant tenant = TestingTenancy.tenant("t", rate, burst);
     PartitionBuckets buckets = new PartitionBuckets(0, Double.MAX_VALUE, false);
     List<Long> uses = new ArrayList<>();
@@ -160,7 +159,7 @@
   }
 
   @Test
-  void aBucketThatWasElsewhereOwesWhatMayHaveBeenLentThere() {
+  void bucketHeldElsewhereDeductsPossibleLoans() {
     Tenant tenant = TestingTenancy.tenant("t", 20, 20);
     PartitionBuckets before = new PartitionBuckets(0, 0, false);
     PartitionBuckets after = new PartitionBuckets(0, 0, true);
@@ -177,7 +176,7 @@
   }
 
   @Test
-  void aSliceIsAPartOfWhatIsLeft() {
+  void sliceIsAFractionOfTheRemainingTokens() {
     Tenant tenant = TestingTenancy.tenant("t", 1, 40);
     PartitionBuckets buckets = new PartitionBuckets(0, Double.MAX_VALUE, false);
     assertEquals(10, buckets.decide(tenant, RequestKind.CONTINUING, 0, 64, 0).tokens());
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedEngines.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedEngines.java
@@ -19,14 +19,14 @@
   static final int EVENTS = 6;
   static final int ENGINES = 4;
 
-  private static final long FIRST_BORN_MILLIS = 1_000;
+  private static final long INITIAL_START_MILLIS = 1_000;
 
   private final TestingEventLoop eventLoop;
   private final Random random;
   private final Map<String, Integer> runs = new HashMap<>();
   private final Map<String, String> bodies = new HashMap<>();
-  private final Map<String, Long> bornMillis = new HashMap<>();
-  private final List<Run> underWay = new ArrayList<>();
+  private final Map<String, Long> startMillis = new HashMap<>();
+  private final List<Run> inProgress = new ArrayList<>();
 
   SimulatedEngines(TestingEventLoop eventLoop, Random random) {
     this.eventLoop = eventLoop;
@@ -34,8 +34,8 @@
   }
 
   /** When an engine started last. */
-  long bornMillis(String engine) {
-    return bornMillis.getOrDefault(engine, FIRST_BORN_MILLIS);
+  long startMillis(String engine) {
+    return startMillis.getOrDefault(engine, INITIAL_START_MILLIS);
   }
 
   /**
@@ -43,11 +43,11 @@
    * of it soon, or never.
    */
   void restart(String engine) {
-    bornMillis.put(engine, bornMillis(engine) + 1);
-    for (Run run : List.copyOf(underWay)) {
+    startMillis.put(engine, startMillis(engine) + 1);
+    for (Run run : List.copyOf(inProgress)) {
       if (run.engine.equals(engine)) {
-        underWay.remove(run);
-        run.restarted();
+        inProgress.remove(run);
+        run.onEngineRestart();
       }
     }
   }
@@ -68,7 +68,7 @@
     private final EngineRequest request;
     private final Listener listener;
     private boolean cancelled;
-    private boolean gone;
+    private boolean lost;
 
     Run(String engine, EngineRequest request, Listener listener) {
       this.engine = engine;
@@ -79,7 +79,7 @@
     @Override
     public void cancel() {
       cancelled = true;
-      underWay.remove(this);
+      inProgress.remove(this);
     }
 
     @Override
@@ -92,18 +92,18 @@
       throw new IllegalStateException("callers read at once");
     }
 
-    private void later(long millis, Runnable step) {
+    private void schedule(long millis, Runnable step) {
       eventLoop.schedule(
           millis,
           () -> {
-            if (!cancelled && !gone) {
+            if (!cancelled && !lost) {
               step.run();
             }
           });
     }
 
-    void restarted() {
-      gone = true;
+    void onEngineRestart() {
+      lost = true;
       if (random.nextInt(4) > 0) {
         eventLoop.schedule(
             random.nextInt(100),
@@ -115,8 +115,8 @@
       }
     }
 
-    private void over(Runnable end) {
-      underWay.remove(this);
+    private void finish(Runnable end) {
+      inProgress.remove(this);
       end.run();
     }
 
@@ -124,14 +124,14 @@
       return request.source().attributes().requestId();
     }
 
-    void begin() {
-      int luck = random.nextInt(100);
-      if (luck < 5) {
-        later(2, () -> over(() -> listener.onFailure(Failure.NOT_SENT, "refused")));
-      } else if (luck < 12) {
-        later(2, () -> over(() -> listener.onHead(head(503, true))));
+    void start() {
+      int roll = random.nextInt(100);
+      if (roll < 5) {
+        schedule(2, () -> finish(() -> listener.onFailure(Failure.NOT_SENT, "refused")));
+      } else if (roll < 12) {
+        schedule(2, () -> finish(() -> listener.onHead(head(503, true))));
       } else {
-        later(1 + random.nextInt(30), this::run);
+        schedule(1 + random.nextInt(30), this::run);
       }
     }
 
@@ -147,11 +147,11 @@
 
     private void event(int number) {
       if (random.nextInt(100) < 2) {
-        later(1, () -> over(() -> listener.onFailure(Failure.BROKEN, "reset")));
+        schedule(1, () -> finish(() -> listener.onFailure(Failure.BROKEN, "reset")));
       } else if (number > EVENTS) {
-        later(1, () -> over(listener::onComplete));
+        schedule(1, () -> finish(listener::onComplete));
       } else {
-        later(
+        schedule(
             1 + random.nextInt(20),
             () -> {
               String text = "id: " + number + "\ndata: " + id() + '-' + number + "\n\n";
@@ -170,8 +170,8 @@
   @Override
   public Exchange send(Engine engine, EngineRequest request, Listener listener) {
     Run run = new Run(engine.record().id(), request, listener);
-    underWay.add(run);
-    run.begin();
+    inProgress.add(run);
+    run.start();
     return run;
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedNode.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedNode.java
@@ -39,7 +39,7 @@
   private final GatewayState state;
   private final CallCoordinator coordinator;
   private final TurnHistory history;
-  private final TestingHandover.Node side;
+  private final TestingHandover.Node handoverNode;
   private final List<ClientCall> calls = new ArrayList<>();
 
   SimulatedNode(
@@ -56,15 +56,15 @@
     state = new GatewayState(eventLoop, health, directory, (event, fields) -> {});
     List<EngineRecord> records = new ArrayList<>();
     for (int i = 0; i < SimulatedEngines.ENGINES; i++) {
-      records.add(entry("e" + i, engines.bornMillis("e" + i)));
+      records.add(entry("e" + i, engines.startMillis("e" + i)));
     }
     state.replaceEngines(records);
     state.adoptIfNewer(configuration);
-    side = handover.new Node();
-    history = new TurnHistory(store, eventLoop, CACHE_BYTES, side);
+    handoverNode = handover.new Node();
+    history = new TurnHistory(store, eventLoop, CACHE_BYTES, handoverNode);
     ProgramBudgets budgets =
-        new ProgramBudgets(store, eventLoop, new GrantIds(random.nextLong()), side);
-    side.serve(budgets, history);
+        new ProgramBudgets(store, eventLoop, new GrantIds(random.nextLong()), handoverNode);
+    handoverNode.serve(budgets, history);
     coordinator =
         new CallCoordinator(
             new GatewayContext(
@@ -85,21 +85,21 @@
                 new GatewayMetrics()));
   }
 
-  private static EngineRecord entry(String engine, long bornMillis) {
-    return new EngineRecord(engine, "s", "10.0.0.1", 80, "z", 8, false, 0, bornMillis);
+  private static EngineRecord entry(String engine, long startMillis) {
+    return new EngineRecord(engine, "s", "10.0.0.1", 80, "z", 8, false, 0, startMillis);
   }
 
   /** Hears when an engine started, from its entry or from a report; perhaps of an earlier start. */
-  void engineBorn(String engine, long bornMillis, boolean entry) {
+  void onEngineStart(String engine, long startMillis, boolean entry) {
     if (entry) {
-      state.putEngine(entry(engine, bornMillis));
+      state.putEngine(entry(engine, startMillis));
     } else {
-      directory.adoptStartTime(new EngineId(engine), bornMillis, eventLoop.nanoTime());
+      directory.adoptStartTime(new EngineId(engine), startMillis, eventLoop.nanoTime());
     }
   }
 
   /** When an engine started last, as far as this node knows. */
-  long bornMillis(String engine) {
+  long engineStartMillis(String engine) {
     return directory.find(new EngineId(engine)).record().startMillis();
   }
 
@@ -118,7 +118,7 @@
 
   /** The node loses power: its connections to engines are gone, and nobody hears of it again. */
   void losePower() {
-    side.leave();
+    handoverNode.leave();
     calls.forEach(ClientCall::callerDisconnected);
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedProgram.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedProgram.java
@@ -23,13 +23,13 @@
   private final String name;
   private final long budget;
   private final String path;
-  private final List<Try> tries = new ArrayList<>();
-  private final Map<String, String> chainText = new HashMap<>();
-  private String lastWhole;
-  private Try current;
+  private final List<ProgramCall> calls = new ArrayList<>();
+  private final Map<String, String> historyText = new HashMap<>();
+  private String lastCompleted;
+  private ProgramCall current;
 
   /** One try of one turn. */
-  static final class Try implements CallResponder {
+  static final class ProgramCall implements CallResponder {
     private final String id;
     private final String previous;
     private final StringBuilder output = new StringBuilder();
@@ -39,11 +39,11 @@
     private int events;
     private Refusal refusal;
     private boolean ended;
-    private boolean over;
-    private boolean nodeGone;
-    private boolean disordered;
+    private boolean finished;
+    private boolean onNodeLost;
+    private boolean outOfOrder;
 
-    Try(String id, String previous) {
+    ProgramCall(String id, String previous) {
       this.id = id;
       this.previous = previous;
     }
@@ -64,8 +64,8 @@
       return events;
     }
 
-    boolean disordered() {
-      return disordered;
+    boolean outOfOrder() {
+      return outOfOrder;
     }
 
     @Override
@@ -73,22 +73,22 @@
       return flow;
     }
 
-    void nodeGone() {
-      nodeGone = true;
-      over = true;
+    void onNodeLost() {
+      onNodeLost = true;
+      finished = true;
     }
 
     @Override
     public void refuse(Refusal newRefusal) {
-      if (!nodeGone) {
+      if (!onNodeLost) {
         refusal = newRefusal;
-        over = true;
+        finished = true;
       }
     }
 
     @Override
     public void respond(ResponseHead head, byte[] body) {
-      over = true;
+      finished = true;
     }
 
     @Override
@@ -96,26 +96,26 @@
 
     @Override
     public void sendEvent(byte[] bytes) {
-      if (nodeGone) {
+      if (onNodeLost) {
         return;
       }
       events++;
       String text = new String(bytes, StandardCharsets.UTF_8);
-      disordered |= !text.startsWith("id: " + events + "\n");
+      outOfOrder |= !text.startsWith("id: " + events + "\n");
       output.append(text.lines().toList().get(1).substring("data: ".length())).append('\n');
     }
 
     @Override
     public void endStream() {
-      if (!nodeGone) {
+      if (!onNodeLost) {
         ended = true;
-        over = true;
+        finished = true;
       }
     }
 
     @Override
     public void abortStream() {
-      over = true;
+      finished = true;
     }
   }
 
@@ -125,49 +125,49 @@
     this.budget = budget;
   }
 
-  List<Try> tries() {
-    return tries;
+  List<ProgramCall> calls() {
+    return calls;
   }
 
   long budget() {
     return budget;
   }
 
-  long tokensHanded() {
-    return tries.stream().mapToLong(Try::events).sum() * TOKENS_PER_EVENT;
+  long tokensReceived() {
+    return calls.stream().mapToLong(ProgramCall::events).sum() * TOKENS_PER_EVENT;
   }
 
   /** The text that the engine must get before the input of a turn that continues this one. */
-  String chainText(String turn) {
-    return turn == null ? "" : chainText.get(turn);
+  String historyText(String turn) {
+    return turn == null ? "" : historyText.get(turn);
   }
 
   static String input(String id) {
     return "in " + id + ";";
   }
 
-  String previousOf(Try attempt) {
+  String previousOf(ProgramCall attempt) {
     return attempt.previous;
   }
 
   void nodeGone() {
     if (current != null) {
-      current.nodeGone();
+      current.onNodeLost();
     }
   }
 
   /** Takes the next try at a node, unless one is under way. */
-  Try next(SimulatedNode node, TestingEventLoop eventLoop) {
-    if (current != null && !current.over) {
+  ProgramCall startNextCall(SimulatedNode node, TestingEventLoop eventLoop) {
+    if (current != null && !current.finished) {
       return null;
     }
     if (current != null && current.ended) {
-      lastWhole = current.id;
-      String before = chainText(current.previous);
-      chainText.put(current.id, before + input(current.id) + current.output);
+      lastCompleted = current.id;
+      String before = historyText(current.previous);
+      historyText.put(current.id, before + input(current.id) + current.output);
     }
-    current = new Try(name + "-" + tries.size(), lastWhole);
-    tries.add(current);
+    current = new ProgramCall(name + "-" + calls.size(), lastCompleted);
+    calls.add(current);
     CallAttributes attributes =
         new CallAttributes(
             current.id,
@@ -178,7 +178,7 @@
             budget,
             TURN_TOKENS,
             List.of(),
-            lastWhole,
+            lastCompleted,
             -1,
             null,
             null);
@@ -195,7 +195,7 @@
     return current;
   }
 
-  String lastWhole() {
-    return lastWhole;
+  String lastCompleted() {
+    return lastCompleted;
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TenancyNode.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TenancyNode.java
@@ -49,17 +49,17 @@
   private final PeerAddress address;
   private final TestingEventLoop time;
   private final TestingStore store;
-  private final Loop loop = new Loop();
+  private final NodeEventLoop loop = new NodeEventLoop();
   private final StoreClock clock = new StoreClock();
   private final ConfigurationFreshness freshness = new ConfigurationFreshness(loop);
   private final KeyAuthenticator authenticator;
   private final SharedRequestLimiter limiter;
   private final PeerMessageCodec codec = new PeerMessageCodec();
-  private final ArrayDeque<Runnable> frozenTasks = new ArrayDeque<>();
+  private final ArrayDeque<Runnable> deferredTasks = new ArrayDeque<>();
   private TenantDirectory directory = TenantDirectory.NONE;
   private OptionalLong version = OptionalLong.empty();
   private boolean dead;
-  private boolean frozen;
+  private boolean paused;
   private boolean cutFromStore;
 
   /** Reads the tenants of a version of the configuration. */
@@ -68,7 +68,7 @@
   }
 
   /** The node's own loop: what comes due while the process stands still runs when it goes on. */
-  private final class Loop implements EventLoop {
+  private final class NodeEventLoop implements EventLoop {
     @Override
     public long nanoTime() {
       return time.nanoTime();
@@ -80,7 +80,7 @@
       time.schedule(
           delayMillis,
           () ->
-              runOrKeep(
+              runOrDefer(
                   () -> {
                     if (!cancelled[0]) {
                       task.run();
@@ -91,8 +91,8 @@
   }
 
   /** The node's way to the store. */
-  private final class Path implements DurableStore {
-    private boolean broken(Consumer<?> answer, Runnable lost) {
+  private final class StoreConnection implements DurableStore {
+    private boolean failIfCut(Consumer<?> answer, Runnable lost) {
       if (cutFromStore) {
         loop.schedule(LOST_MILLIS, lost);
       }
@@ -101,7 +101,7 @@
 
     @Override
     public void transact(Transaction transaction, Consumer<TransactionOutcome> answer) {
-      if (broken(answer, () -> answer.accept(new TransactionOutcome.Unknown("cut")))) {
+      if (failIfCut(answer, () -> answer.accept(new TransactionOutcome.Unknown("cut")))) {
         return;
       }
       long sent = time.nanoTime();
@@ -110,7 +110,7 @@
 
     @Override
     public void read(RangeRead read, Consumer<ReadOutcome> answer) {
-      if (broken(answer, () -> answer.accept(new ReadOutcome.Failed("cut")))) {
+      if (failIfCut(answer, () -> answer.accept(new ReadOutcome.Failed("cut")))) {
         return;
       }
       long sent = time.nanoTime();
@@ -119,7 +119,7 @@
 
     @Override
     public void watch(String table, long after, int wait, Consumer<ReadOutcome> answer) {
-      if (broken(answer, () -> answer.accept(new ReadOutcome.Failed("cut")))) {
+      if (failIfCut(answer, () -> answer.accept(new ReadOutcome.Failed("cut")))) {
         return;
       }
       long sent = time.nanoTime();
@@ -128,7 +128,7 @@
 
     private <T> void arrive(long sentNanos, Consumer<T> answer, T outcome) {
       long storeMillis = time.nanoTime() / 1_000_000 + STORE_OFFSET_MILLIS;
-      runOrKeep(
+      runOrDefer(
           () -> {
             clock.observe(sentNanos, time.nanoTime(), storeMillis);
             answer.accept(outcome);
@@ -147,12 +147,12 @@
     this.address = address;
     this.time = time;
     this.store = store;
-    Path path = new Path();
+    StoreConnection connection = new StoreConnection();
     authenticator = TestingTenancy.authenticator(() -> directory, freshness);
     PartitionLeases leases =
         new PartitionLeases(
             address,
-            path,
+            connection,
             clock,
             loop,
             random.nextLong(),
@@ -177,7 +177,7 @@
     TableWatcher watcher =
         new TableWatcher(
             "op",
-            path,
+            connection,
             1_500,
             0,
             TableWatcher.Recovery.REREAD,
@@ -220,12 +220,12 @@
     }
   }
 
-  private void runOrKeep(Runnable task) {
+  private void runOrDefer(Runnable task) {
     if (dead) {
       return;
     }
-    if (frozen) {
-      frozenTasks.add(task);
+    if (paused) {
+      deferredTasks.add(task);
     } else {
       task.run();
     }
@@ -233,23 +233,26 @@
 
   @Override
   public void receive(PeerAddress sender, byte[] datagram) {
-    runOrKeep(
+    runOrDefer(
         () -> codec.decode(datagram).ifPresent(message -> limiter.onMessage(sender, message)));
   }
 
   /** Takes a request; {@code run} is called if it may run, {@code limited} if its limit is over. */
   void request(ApiKey key, RequestKind kind, Runnable run, Runnable limited) {
-    runOrKeep(
+    runOrDefer(
         () -> {
           if (version.isPresent()) {
             authenticator.authenticate(
-                key, time.nanoTime(), verdict -> onVerdict(verdict, kind, run, limited));
+                key,
+                time.nanoTime(),
+                keyDecision -> onKeyDecision(keyDecision, kind, run, limited));
           }
         });
   }
 
-  private void onVerdict(KeyDecision verdict, RequestKind kind, Runnable run, Runnable limited) {
-    if (verdict instanceof KeyDecision.Accepted accepted) {
+  private void onKeyDecision(
+      KeyDecision keyDecision, RequestKind kind, Runnable run, Runnable limited) {
+    if (keyDecision instanceof KeyDecision.Accepted accepted) {
       limiter.decide(
           new LimitedRequest(accepted.tenant(), kind, Optional.empty()),
           900,
@@ -267,15 +270,15 @@
     return address;
   }
 
-  void freeze(boolean freeze) {
-    frozen = freeze;
-    while (!frozen && !frozenTasks.isEmpty()) {
-      frozenTasks.poll().run();
+  void setPaused(boolean pause) {
+    paused = pause;
+    while (!paused && !deferredTasks.isEmpty()) {
+      deferredTasks.poll().run();
     }
   }
 
-  boolean frozen() {
-    return frozen;
+  boolean paused() {
+    return paused;
   }
 
   void cutFromStore(boolean cut) {
@@ -283,7 +286,7 @@
   }
 
   void stopAsPlanned() {
-    runOrKeep(limiter::stop);
+    runOrDefer(limiter::stop);
   }
 
   void losePower() {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TestGatewaySimulation.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TestGatewaySimulation.java
@@ -94,12 +94,12 @@
 
     void run() {
       for (int step = 0; step < STEPS; step++) {
-        disturb();
+        injectFault();
         int program = random.nextInt(PROGRAMS);
         if (random.nextInt(4) == 0) {
           nodeOfProgram.set(program, random.nextInt(NODES));
         }
-        programs.get(program).next(nodes.get(nodeOfProgram.get(program)), eventLoop);
+        programs.get(program).startNextCall(nodes.get(nodeOfProgram.get(program)), eventLoop);
         eventLoop.advance(random.nextInt(200));
       }
       store.fault(Fault.NONE);
@@ -107,19 +107,19 @@
       eventLoop.advance(SETTLE_MILLIS);
     }
 
-    private void disturb() {
-      int luck = random.nextInt(100);
-      if (luck < 10) {
+    private void injectFault() {
+      int roll = random.nextInt(100);
+      if (roll < 10) {
         store.fault(Fault.values()[random.nextInt(Fault.values().length)]);
-      } else if (luck < 14) {
+      } else if (roll < 14) {
         store.failReads(random.nextBoolean());
-      } else if (luck < 18) {
+      } else if (roll < 18) {
         losePower(random.nextInt(NODES));
-      } else if (luck < 19) {
+      } else if (roll < 19) {
         for (int i = 0; i < NODES; i++) {
           losePower(i);
         }
-      } else if (luck < 24) {
+      } else if (roll < 24) {
         restartEngine("e" + random.nextInt(SimulatedEngines.ENGINES));
       }
     }
@@ -127,11 +127,13 @@
     /** Nodes learn of a start at different times, and of two starts in any order. */
     private void restartEngine(String engine) {
       engines.restart(engine);
-      long born = engines.bornMillis(engine);
+      long startMillis = engines.startMillis(engine);
       for (SimulatedNode node : nodes) {
         boolean entryFirst = random.nextBoolean();
-        eventLoop.schedule(random.nextInt(2_000), () -> node.engineBorn(engine, born, entryFirst));
-        eventLoop.schedule(random.nextInt(2_000), () -> node.engineBorn(engine, born, !entryFirst));
+        eventLoop.schedule(
+            random.nextInt(2_000), () -> node.onEngineStart(engine, startMillis, entryFirst));
+        eventLoop.schedule(
+            random.nextInt(2_000), () -> node.onEngineStart(engine, startMillis, !entryFirst));
       }
     }
 
@@ -148,10 +150,10 @@
     void check(String seed) {
       for (SimulatedProgram program : programs) {
         assertTrue(
-            program.tokensHanded() <= program.budget() + SimulatedProgram.TURN_TOKENS,
-            seed + ": handed " + program.tokensHanded() + " of " + program.budget());
-        for (SimulatedProgram.Try attempt : program.tries()) {
-          checkTry(seed + " " + attempt.id(), program, attempt);
+            program.tokensReceived() <= program.budget() + SimulatedProgram.TURN_TOKENS,
+            seed + ": handed " + program.tokensReceived() + " of " + program.budget());
+        for (SimulatedProgram.ProgramCall call : program.calls()) {
+          checkCall(seed + " " + call.id(), program, call);
         }
       }
       checkHistory(seed);
@@ -161,67 +163,70 @@
     private void checkEngines(String seed) {
       for (SimulatedNode node : nodes) {
         for (int i = 0; i < SimulatedEngines.ENGINES; i++) {
-          assertEquals(engines.bornMillis("e" + i), node.bornMillis("e" + i), seed + ": e" + i);
+          assertEquals(
+              engines.startMillis("e" + i), node.engineStartMillis("e" + i), seed + ": e" + i);
         }
         assertEquals(0, node.inFlight(), seed + ": requests under way");
       }
     }
 
-    private void checkTry(String what, SimulatedProgram program, SimulatedProgram.Try attempt) {
-      boolean kept = program.tries().indexOf(attempt) >= 0 && isKept(program);
-      int runs = engines.runs(attempt.id());
-      assertTrue(runs <= (kept ? 1 : 2), what + " ran " + runs + " times");
-      assertTrue(!attempt.disordered(), what + " got events out of order");
-      if (attempt.ended()) {
-        assertEquals(SimulatedEngines.EVENTS, attempt.events(), what + " ended early");
+    private void checkCall(
+        String what, SimulatedProgram program, SimulatedProgram.ProgramCall call) {
+      boolean retained = program.calls().indexOf(call) >= 0 && isRetained(program);
+      int runs = engines.runs(call.id());
+      assertTrue(runs <= (retained ? 1 : 2), what + " ran " + runs + " times");
+      assertTrue(!call.outOfOrder(), what + " got events out of order");
+      if (call.ended()) {
+        assertEquals(SimulatedEngines.EVENTS, call.events(), what + " ended early");
       }
-      if (attempt.refusal() != null) {
-        int status = attempt.refusal().kind().httpStatus();
-        if (status == 402 || status == 404 || kept && status == 503) {
+      if (call.refusal() != null) {
+        int status = call.refusal().kind().httpStatus();
+        if (status == 402 || status == 404 || retained && status == 503) {
           assertEquals(0, runs, what + " ran though it was answered " + status);
         }
         assertTrue(
-            status != 404 || attempt.id().isEmpty(), what + ": a turn that was kept is unknown");
+            status != 404 || call.id().isEmpty(), what + ": a turn that was kept is unknown");
       }
-      if (kept && runs > 0) {
+      if (retained && runs > 0) {
         String expected =
-            program.chainText(program.previousOf(attempt)) + SimulatedProgram.input(attempt.id());
-        assertEquals(expected, engines.body(attempt.id()), what + " ran with another history");
+            program.historyText(program.previousOf(call)) + SimulatedProgram.input(call.id());
+        assertEquals(expected, engines.body(call.id()), what + " ran with another history");
       }
     }
 
-    private boolean isKept(SimulatedProgram program) {
+    private boolean isRetained(SimulatedProgram program) {
       return programs.indexOf(program) % 2 == 0;
     }
 
     private void checkHistory(String seed) {
       SimulatedNode fresh = startNode();
       for (SimulatedProgram program : programs) {
-        if (!isKept(program) || program.lastWhole() == null) {
+        if (!isRetained(program) || program.lastCompleted() == null) {
           continue;
         }
         AtomicReference<Lookup> found = new AtomicReference<>();
         long giveUp = eventLoop.nanoTime() + 1_000_000_000L;
-        fresh.history().find(new ProgramId("any"), program.lastWhole(), giveUp, found::set);
+        fresh.history().find(new ProgramId("any"), program.lastCompleted(), giveUp, found::set);
         eventLoop.advance(2_000);
-        assertTrue(found.get() instanceof Lookup.Found, seed + ": lost " + program.lastWhole());
+        assertTrue(found.get() instanceof Lookup.Found, seed + ": lost " + program.lastCompleted());
         List<StoredTurn> chain = ((Lookup.Found) found.get()).chain();
-        assertEquals(program.lastWhole(), chain.get(chain.size() - 1).id());
+        assertEquals(program.lastCompleted(), chain.get(chain.size() - 1).id());
       }
     }
   }
 
   @Test
-  void promisesHoldUnderFaults() {
-    int whole = 0;
+  void guaranteesHoldUnderFaults() {
+    int completed = 0;
     for (int seed = 0; seed < SEEDS; seed++) {
       Schedule schedule = new Schedule(seed);
       schedule.run();
       schedule.check("seed " + seed);
       for (SimulatedProgram program : schedule.programs) {
-        whole += (int) program.tries().stream().filter(SimulatedProgram.Try::ended).count();
+        completed +=
+            (int) program.calls().stream().filter(SimulatedProgram.ProgramCall::ended).count();
       }
     }
-    assertTrue(whole > SEEDS * 10, "schedules that serve nothing prove nothing: " + whole);
+    assertTrue(completed > SEEDS * 10, "schedules that serve nothing prove nothing: " + completed);
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TestTenancySimulation.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TestTenancySimulation.java
@@ -59,7 +59,7 @@
   private static final class Schedule {
     private final int seed;
     private final Random random;
-    private final boolean calm;
+    private final boolean withoutFaults;
     private final TestingEventLoop time = new TestingEventLoop();
     private final TestingStore store = new TestingStore(time);
     private final TestingPeerNetwork network = new TestingPeerNetwork(time);
@@ -68,20 +68,20 @@
     private final Map<String, Set<String>> keys = new TreeMap<>();
     private final Map<String, Long> removedNanos = new HashMap<>();
     private final Map<String, List<long[]>> runs = new TreeMap<>();
-    private final Map<String, Integer> asked = new HashMap<>();
+    private final Map<String, Integer> requested = new HashMap<>();
     private final Map<String, Integer> limited = new HashMap<>();
     private long version;
-    private long deafNanos;
+    private long feedSuppressedNanos;
 
-    Schedule(int seed, boolean calm) {
+    Schedule(int seed, boolean withoutFaults) {
       this.seed = seed;
       this.random = new Random(seed);
-      this.calm = calm;
+      this.withoutFaults = withoutFaults;
       for (Profile profile : PROFILES) {
         keys.put(
             profile.name(), new HashSet<>(Set.of(profile.name() + "-1", profile.name() + "-2")));
       }
-      change();
+      writeConfiguration();
       time.advance(50);
       for (int i = 0; i < NODES; i++) {
         start(i);
@@ -114,7 +114,7 @@
     }
 
     /** The operator writes what it wants now. */
-    private void change() {
+    private void writeConfiguration() {
       version++;
       TenantDirectory.Builder builder = new TenantDirectory.Builder();
       for (Profile profile : PROFILES) {
@@ -132,8 +132,8 @@
 
     void run() {
       for (int step = 0; step < STEPS; step++) {
-        if (!calm) {
-          disturb();
+        if (!withoutFaults) {
+          injectFault();
         }
         PROFILES.forEach(this::load);
         time.advance(STEP_MILLIS);
@@ -143,8 +143,8 @@
     private void load(Profile profile) {
       double mean =
           profile.rate() == 0 ? 0.3 : profile.rate() * profile.load() * STEP_MILLIS / 1_000;
-      for (double left = mean; left > 0; left--) {
-        if (random.nextDouble() < left) {
+      for (double remaining = mean; remaining > 0; remaining--) {
+        if (random.nextDouble() < remaining) {
           send(profile);
         }
       }
@@ -155,7 +155,7 @@
       int node = random.nextInt(NODES);
       RequestKind kind = random.nextInt(4) == 0 ? RequestKind.FIRST_TURN : RequestKind.CONTINUING;
       long sent = time.nanoTime();
-      asked.merge(profile.name(), 1, Integer::sum);
+      requested.merge(profile.name(), 1, Integer::sum);
       time.schedule(
           random.nextInt(20),
           () ->
@@ -184,47 +184,47 @@
           .add(new long[] {sent, time.nanoTime()});
     }
 
-    private void disturb() {
-      int luck = random.nextInt(1_000);
+    private void injectFault() {
+      int roll = random.nextInt(1_000);
       int node = random.nextInt(NODES);
-      if (luck < 6) {
+      if (roll < 6) {
         store.fault(Fault.values()[random.nextInt(Fault.values().length)]);
-      } else if (luck < 16) {
+      } else if (roll < 16) {
         store.fault(Fault.NONE);
         store.failReads(random.nextInt(3) == 0);
-      } else if (luck < 22) {
+      } else if (roll < 22) {
         restart(node, random.nextInt(2_000));
-      } else if (luck < 23) {
+      } else if (roll < 23) {
         for (int i = 0; i < NODES; i++) {
           restart(i, 300);
         }
-      } else if (luck < 26) {
+      } else if (roll < 26) {
         nodes.get(node).stopAsPlanned();
         time.schedule(400, () -> restart(node, 100));
-      } else if (luck < 34) {
-        nodes.get(node).freeze(!nodes.get(node).frozen());
-      } else if (luck < 42) {
+      } else if (roll < 34) {
+        nodes.get(node).setPaused(!nodes.get(node).paused());
+      } else if (roll < 42) {
         nodes.get(node).cutFromStore(random.nextBoolean());
-      } else if (luck < 48) {
+      } else if (roll < 48) {
         network.cut(address(node), address(random.nextInt(NODES)), random.nextBoolean());
-      } else if (luck < 52) {
+      } else if (roll < 52) {
         network.lose(random.nextInt(3) * 0.2, new Random(random.nextLong()));
-      } else if (luck < 53 && time.nanoTime() - deafNanos > 2 * WINDOW_NANOS) {
-        deafNanos = time.nanoTime();
-        store.deafen(1_000);
-      } else if (luck < 60) {
+      } else if (roll < 53 && time.nanoTime() - feedSuppressedNanos > 2 * WINDOW_NANOS) {
+        feedSuppressedNanos = time.nanoTime();
+        store.suppressFeed(1_000);
+      } else if (roll < 60) {
         revoke();
       }
     }
 
-    private void restart(int node, long darkMillis) {
-      TenancyNode gone = nodes.get(node);
-      gone.losePower();
+    private void restart(int node, long downMillis) {
+      TenancyNode previous = nodes.get(node);
+      previous.losePower();
       network.detach(address(node));
       time.schedule(
-          darkMillis,
+          downMillis,
           () -> {
-            if (nodes.get(node) == gone) {
+            if (nodes.get(node) == previous) {
               start(node);
             }
           });
@@ -235,7 +235,7 @@
       String key = profile.name() + '-' + (1 + random.nextInt(2));
       Set<String> held = keys.get(profile.name());
       if (held.size() > 1 && held.remove(key)) {
-        change();
+        writeConfiguration();
         removedNanos.put(key, time.nanoTime());
       }
     }
@@ -268,7 +268,7 @@
   }
 
   @Test
-  void noKeyAndNoTenantPassesItsBoundsUnderFaults() {
+  void keyAndTenantLimitsHoldUnderFaults() {
     int ran = 0;
     for (int seed = 0; seed < SCHEDULES; seed++) {
       Schedule schedule = new Schedule(seed, false);
@@ -280,14 +280,14 @@
   }
 
   @Test
-  void inCalmTimesNothingBelowALimitIsRefused() {
+  void withoutFaultsNothingBelowALimitIsRefused() {
     Schedule schedule = new Schedule(1, true);
     schedule.run();
     schedule.checkLimits("calm");
     for (String name : List.of("large", "small", "free")) {
       assertEquals(0, schedule.limited.getOrDefault(name, 0), name);
       int ran = schedule.runs.get(name).size();
-      assertTrue(ran > 0.95 * schedule.asked.get(name), name + " ran " + ran);
+      assertTrue(ran > 0.95 * schedule.requested.get(name), name + " ran " + ran);
     }
     int hotRan = schedule.runs.get("hot").size();
     double seconds = STEPS * STEP_MILLIS / 1e3;
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/tenancy/TestKeyAuthenticator.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/tenancy/TestKeyAuthenticator.java
@@ -21,139 +21,139 @@
 
   private final TestingEventLoop eventLoop = new TestingEventLoop();
   private final ConfigurationFreshness freshness = new ConfigurationFreshness(eventLoop);
-  private final List<KeyDecision> verdicts = new ArrayList<>();
+  private final List<KeyDecision> decisions = new ArrayList<>();
   private TenantDirectory directory = TestingTenancy.tenants("a");
   private final KeyAuthenticator authenticator =
       TestingTenancy.authenticator(() -> directory, freshness);
   private int checks;
 
-  private KeyDecision judge(ApiKey key) {
-    verdicts.clear();
-    authenticator.authenticate(key, eventLoop.nanoTime(), verdicts::add);
-    return verdicts.isEmpty() ? null : verdicts.get(0);
+  private KeyDecision authenticate(ApiKey key) {
+    decisions.clear();
+    authenticator.authenticate(key, eventLoop.nanoTime(), decisions::add);
+    return decisions.isEmpty() ? null : decisions.get(0);
   }
 
-  private void proveNow() {
+  private void recordProofNow() {
     freshness.recordProof(eventLoop.nanoTime());
   }
 
   @ParameterizedTest(name = "proven {0} ms before the request: accepted {1}")
   @CsvSource({"0, true", "3900, true", "3901, false", "60000, false"})
-  void aKeyIsAcceptedOnlyShortlyAfterAProof(long ageMillis, boolean accepted) {
-    proveNow();
+  void keyIsAcceptedOnlyWithARecentProof(long ageMillis, boolean accepted) {
+    recordProofNow();
     eventLoop.advance(ageMillis);
-    assertEquals(accepted, judge(KEY) instanceof KeyDecision.Accepted);
+    assertEquals(accepted, authenticate(KEY) instanceof KeyDecision.Accepted);
     assertEquals(accepted, authenticator.canAcceptKeys());
   }
 
   @Test
-  void withoutAnyProofNothingIsDecided() {
-    assertEquals(new KeyDecision.Undecided(-1), judge(KEY));
-    assertEquals(new KeyDecision.Undecided(-1), judge(null));
+  void keysAreUndecidedWithoutAProof() {
+    assertEquals(new KeyDecision.Undecided(-1), authenticate(KEY));
+    assertEquals(new KeyDecision.Undecided(-1), authenticate(null));
   }
 
   /** A process that stood still judges by when it read the request, not by when it was proven. */
   @Test
-  void aProofThatCameBeforeAFreezeDoesNotCountAfterIt() {
-    proveNow();
+  void proofFromBeforeAPauseIsTooOldAfterIt() {
+    recordProofNow();
     eventLoop.advance(6_000);
-    assertInstanceOf(KeyDecision.Undecided.class, judge(KEY));
+    assertInstanceOf(KeyDecision.Undecided.class, authenticate(KEY));
   }
 
   @Test
-  void anOlderProofTakesNothingBack() {
-    proveNow();
+  void olderProofDoesNotReplaceANewerOne() {
+    recordProofNow();
     long provenNanos = eventLoop.nanoTime();
     freshness.recordProof(provenNanos - 1_000_000_000L);
     assertEquals(0, freshness.ageNanos());
   }
 
   @Test
-  void anUnknownKeyIsRuledOutOnlyByAProofAsOfItsArrival() {
-    proveNow();
+  void unknownKeyIsRejectedOnlyByAProofAsOfItsArrival() {
+    recordProofNow();
     eventLoop.advance(500);
     freshness.setCheck(() -> checks++);
-    assertEquals(null, judge(UNKNOWN));
+    assertEquals(null, authenticate(UNKNOWN));
     assertEquals(1, checks);
     eventLoop.advance(10);
-    proveNow();
-    assertInstanceOf(KeyDecision.Rejected.class, verdicts.get(0));
+    recordProofNow();
+    assertInstanceOf(KeyDecision.Rejected.class, decisions.get(0));
   }
 
   @Test
-  void anUnknownKeyThatTheCheckBringsIsAccepted() {
-    proveNow();
+  void unknownKeyThatTheCheckFindsIsAccepted() {
+    recordProofNow();
     eventLoop.advance(500);
-    judge(new ApiKey("key-b"));
+    authenticate(new ApiKey("key-b"));
     directory = TestingTenancy.tenants("a", "b");
-    proveNow();
-    assertInstanceOf(KeyDecision.Accepted.class, verdicts.get(0));
+    recordProofNow();
+    assertInstanceOf(KeyDecision.Accepted.class, decisions.get(0));
   }
 
   @Test
-  void withoutAnAnswerAnUnknownKeyStaysUndecided() {
-    proveNow();
+  void unknownKeyIsUndecidedWithoutAResponse() {
+    recordProofNow();
     eventLoop.advance(500);
-    judge(UNKNOWN);
+    authenticate(UNKNOWN);
     eventLoop.advance(250);
-    assertEquals(new KeyDecision.Undecided(500), verdicts.get(0));
+    assertEquals(new KeyDecision.Undecided(500), decisions.get(0));
   }
 
   /** Several wait; one proof that is too early for the second one makes another check. */
   @Test
-  void eachWaitsForAProofOfItsOwnTime() {
-    proveNow();
+  void eachRequestWaitsForAProofAsOfItsArrival() {
+    recordProofNow();
     eventLoop.advance(500);
     freshness.setCheck(() -> checks++);
     long first = eventLoop.nanoTime();
-    List<KeyDecision> firstVerdicts = new ArrayList<>();
-    List<KeyDecision> secondVerdicts = new ArrayList<>();
-    authenticator.authenticate(UNKNOWN, first, firstVerdicts::add);
+    List<KeyDecision> firstDecisions = new ArrayList<>();
+    List<KeyDecision> secondDecisions = new ArrayList<>();
+    authenticator.authenticate(UNKNOWN, first, firstDecisions::add);
     eventLoop.advance(5);
-    authenticator.authenticate(new ApiKey("key-y"), eventLoop.nanoTime(), secondVerdicts::add);
+    authenticator.authenticate(new ApiKey("key-y"), eventLoop.nanoTime(), secondDecisions::add);
     freshness.recordProof(first);
-    assertEquals(1, firstVerdicts.size());
-    assertTrue(secondVerdicts.isEmpty());
+    assertEquals(1, firstDecisions.size());
+    assertTrue(secondDecisions.isEmpty());
     assertEquals(3, checks);
   }
 
   @Test
-  void aKeyThatWasRuledOutOnceNeedsNoSecondCheck() {
-    proveNow();
+  void rejectedKeyNeedsNoSecondCheck() {
+    recordProofNow();
     eventLoop.advance(100);
-    judge(UNKNOWN);
-    proveNow();
+    authenticate(UNKNOWN);
+    recordProofNow();
     freshness.setCheck(() -> checks++);
     eventLoop.advance(1_000);
-    assertInstanceOf(KeyDecision.Rejected.class, judge(UNKNOWN));
+    assertInstanceOf(KeyDecision.Rejected.class, authenticate(UNKNOWN));
     assertEquals(0, checks);
     eventLoop.advance(1_000);
-    assertEquals(null, judge(UNKNOWN));
+    assertEquals(null, authenticate(UNKNOWN));
   }
 
   @Test
-  void aKeyThatANewConfigurationDroppedNeedsNoCheck() {
-    proveNow();
-    judge(KEY);
+  void keyRemovedByANewConfigurationNeedsNoCheck() {
+    recordProofNow();
+    authenticate(KEY);
     directory = TestingTenancy.tenants("b");
     eventLoop.advance(100);
-    assertInstanceOf(KeyDecision.Rejected.class, judge(KEY));
+    assertInstanceOf(KeyDecision.Rejected.class, authenticate(KEY));
   }
 
   @Test
-  void aRequestWithoutAKeyIsRuledOut() {
-    proveNow();
-    assertInstanceOf(KeyDecision.Rejected.class, judge(null));
+  void requestWithoutAKeyIsRejected() {
+    recordProofNow();
+    assertInstanceOf(KeyDecision.Rejected.class, authenticate(null));
   }
 
   @Test
-  void aKeyIsNotPrinted() {
+  void keyTextIsNotPrinted() {
     assertFalse(new ApiKey("secret-text").toString().contains("secret"));
     assertEquals(new ApiKey("k").toString(), new ApiKey("k").toString());
   }
 
   @Test
-  void keysOfOneTenantMayNotBeAnothers() {
+  void keyCannotBelongToTwoTenants() {
     TenantDirectory.Builder builder = new TenantDirectory.Builder();
     builder.add(TestingTenancy.tenant("a", 0, 0), List.of(KEY));
     assertThrows(
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/RecordedBytes.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/RecordedBytes.java
@@ -69,14 +69,14 @@
     int present = number(written, 0);
     assertTrue(known <= present, "a block of " + present + " bytes, of " + known + " before");
     assertArrayEquals(block(recorded, known), block(written, known));
-    assertArrayEquals(behind(recorded, known), behind(written, present));
+    assertArrayEquals(afterBlock(recorded, known), afterBlock(written, present));
   }
 
   private static byte[] block(byte[] message, int length) {
     return Arrays.copyOfRange(message, HEADER_BYTES, HEADER_BYTES + length);
   }
 
-  private static byte[] behind(byte[] message, int blockLength) {
+  private static byte[] afterBlock(byte[] message, int blockLength) {
     return Arrays.copyOfRange(message, HEADER_BYTES + blockLength, message.length);
   }
 
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/ScriptedEngine.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/ScriptedEngine.java
@@ -24,15 +24,15 @@
   public record Response(String bytes, After after) {}
 
   private final ServerSocket listener;
-  private final List<Response> answers;
+  private final List<Response> responses;
   private final AtomicInteger next = new AtomicInteger();
   private final AtomicInteger connections = new AtomicInteger();
   private final AtomicInteger open = new AtomicInteger();
   private final List<Socket> sockets = new CopyOnWriteArrayList<>();
   private final List<String> requests = new CopyOnWriteArrayList<>();
 
-  public ScriptedEngine(Response... answers) throws IOException {
-    this.answers = List.of(answers);
+  public ScriptedEngine(Response... responses) throws IOException {
+    this.responses = List.of(responses);
     this.listener = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
     start(this::accept);
   }
@@ -95,15 +95,15 @@
           return;
         }
         requests.add(head);
-        Response answer = answers.get(Math.min(next.getAndIncrement(), answers.size() - 1));
-        socket.getOutputStream().write(answer.bytes().getBytes(StandardCharsets.US_ASCII));
+        Response response = responses.get(Math.min(next.getAndIncrement(), responses.size() - 1));
+        socket.getOutputStream().write(response.bytes().getBytes(StandardCharsets.US_ASCII));
         socket.getOutputStream().flush();
-        if (answer.after() == After.RESET) {
+        if (response.after() == After.RESET) {
           Thread.sleep(100);
           socket.setSoLinger(true, 0);
           return;
         }
-        if (answer.after() == After.CLOSE) {
+        if (response.after() == After.CLOSE) {
           return;
         }
       }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingHandover.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingHandover.java
@@ -21,7 +21,7 @@
  * answers are lost after the tokens were given up, and some come late.
  */
 public final class TestingHandover {
-  private static final long WAY_MILLIS = 3;
+  private static final long ONE_WAY_MILLIS = 3;
   private static final long LATE_MILLIS = 40;
   private static final double LOST_SHARE = 0.1;
   private static final double LATE_SHARE = 0.1;
@@ -46,7 +46,7 @@
   public final class Node implements GrantSource, TurnSource {
     private ProgramBudgets budgets;
     private TurnHistory history;
-    private boolean gone;
+    private boolean left;
 
     /** Sets what this node gives to others. */
     public void serve(ProgramBudgets newBudgets, TurnHistory newHistory) {
@@ -56,27 +56,27 @@
 
     /** This node answers nobody any more. */
     public void leave() {
-      gone = true;
+      left = true;
     }
 
     @Override
     public void request(ProgramId program, Consumer<Optional<GrantTransfer>> answer) {
       Node holder = holders.get(program);
-      if (holder == null || holder == this || holder.gone) {
+      if (holder == null || holder == this || holder.left) {
         answer.accept(Optional.empty());
         return;
       }
-      Optional<GrantTransfer> given = holder.budgets.release(program);
+      Optional<GrantTransfer> released = holder.budgets.release(program);
       transfers++;
       if (random.nextDouble() < LOST_SHARE) {
-        given = Optional.empty();
+        released = Optional.empty();
       }
-      Optional<GrantTransfer> answered = given;
-      eventLoop.schedule(wayMillis(), () -> answer.accept(answered));
+      Optional<GrantTransfer> response = released;
+      eventLoop.schedule(oneWayMillis(), () -> answer.accept(response));
     }
 
-    private long wayMillis() {
-      return random.nextDouble() < LATE_SHARE ? LATE_MILLIS : WAY_MILLIS;
+    private long oneWayMillis() {
+      return random.nextDouble() < LATE_SHARE ? LATE_MILLIS : ONE_WAY_MILLIS;
     }
 
     @Override
@@ -88,10 +88,10 @@
     public void request(ProgramId program, String turnId, Consumer<List<StoredTurn>> answer) {
       Node holder = holders.get(program);
       List<StoredTurn> turns =
-          holder == null || holder == this || holder.gone || holder.history == null
+          holder == null || holder == this || holder.left || holder.history == null
               ? List.of()
               : new ArrayList<>(holder.history.turnsInMemory(turnId));
-      eventLoop.schedule(wayMillis(), () -> answer.accept(turns));
+      eventLoop.schedule(oneWayMillis(), () -> answer.accept(turns));
     }
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingLoadReportClient.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingLoadReportClient.java
@@ -16,12 +16,12 @@
 
 /** Engines that tell their load in memory and virtual time, as the test sets it. */
 public final class TestingLoadReportClient {
-  private static final long WAY_MILLIS = 2;
+  private static final long ONE_WAY_MILLIS = 2;
   private static final long TIMEOUT_MILLIS = 100;
 
   private final EventLoop eventLoop;
   private final Map<String, LoadReport> reports = new HashMap<>();
-  private final Set<String> silent = new HashSet<>();
+  private final Set<String> unresponsive = new HashSet<>();
   private final List<Query> queries = new ArrayList<>();
 
   /** A node asked an engine. */
@@ -48,7 +48,7 @@
 
   /** Lets an engine answer nobody. */
   public void silence(String engine) {
-    silent.add(engine);
+    unresponsive.add(engine);
   }
 
   /** All questions so far. */
@@ -58,27 +58,27 @@
 
   /** The questions of a node. */
   public LoadReportClient of(String node) {
-    return (engine, answer) -> ask(node, engine, answer);
+    return (engine, answer) -> query(node, engine, answer);
   }
 
-  private void ask(String node, Engine engine, Consumer<LoadQueryResult> answer) {
+  private void query(String node, Engine engine, Consumer<LoadQueryResult> answer) {
     String id = engine.record().id();
-    long asked = eventLoop.nanoTime();
-    queries.add(new Query(node, id, asked));
-    if (silent.contains(id)) {
+    long queriedNanos = eventLoop.nanoTime();
+    queries.add(new Query(node, id, queriedNanos));
+    if (unresponsive.contains(id)) {
       eventLoop.schedule(
           TIMEOUT_MILLIS, () -> answer.accept(new LoadQueryResult.NoResponse("time-out")));
       return;
     }
     eventLoop.schedule(
-        WAY_MILLIS,
+        ONE_WAY_MILLIS,
         () -> {
           LoadReport report = reports.get(id);
-          LoadQueryResult told =
+          LoadQueryResult response =
               report == null
                   ? new LoadQueryResult.Unavailable("status 404")
-                  : new LoadQueryResult.Reported(report, asked);
-          eventLoop.schedule(WAY_MILLIS, () -> answer.accept(told));
+                  : new LoadQueryResult.Reported(report, queriedNanos);
+          eventLoop.schedule(ONE_WAY_MILLIS, () -> answer.accept(response));
         });
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingPeerNetwork.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingPeerNetwork.java
@@ -14,12 +14,12 @@
  * the test says so.
  */
 public final class TestingPeerNetwork {
-  private static final long WAY_MILLIS = 2;
-  private static final long DOUBLE_MILLIS = 70;
+  private static final long ONE_WAY_MILLIS = 2;
+  private static final long DUPLICATE_MILLIS = 70;
 
   private final EventLoop eventLoop;
   private final Map<PeerAddress, PeerTransport.Receiver> receivers = new HashMap<>();
-  private final Set<String> cutWays = new HashSet<>();
+  private final Set<String> cutPaths = new HashSet<>();
   private double lossShare;
   private Random random = new Random(0);
   private long sentBytes;
@@ -36,9 +36,9 @@
   /** Cuts or mends the way from one address to another; the way back is another one. */
   public void cut(PeerAddress from, PeerAddress to, boolean cut) {
     if (cut) {
-      cutWays.add(from + " " + to);
+      cutPaths.add(from + " " + to);
     } else {
-      cutWays.remove(from + " " + to);
+      cutPaths.remove(from + " " + to);
     }
   }
 
@@ -57,12 +57,12 @@
   public PeerTransport transportOf(PeerAddress sender) {
     return (receiver, datagram) -> {
       sentBytes += datagram.length;
-      if (cutWays.contains(sender + " " + receiver) || random.nextDouble() < lossShare) {
+      if (cutPaths.contains(sender + " " + receiver) || random.nextDouble() < lossShare) {
         return;
       }
-      eventLoop.schedule(WAY_MILLIS, () -> deliver(sender, receiver, datagram));
+      eventLoop.schedule(ONE_WAY_MILLIS, () -> deliver(sender, receiver, datagram));
       if (random.nextDouble() < lossShare) {
-        eventLoop.schedule(DOUBLE_MILLIS, () -> deliver(sender, receiver, datagram));
+        eventLoop.schedule(DUPLICATE_MILLIS, () -> deliver(sender, receiver, datagram));
       }
     };
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingStore.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingStore.java
@@ -17,7 +17,7 @@
 
 /** The table service in memory and virtual time, with its faults. */
 public final class TestingStore implements DurableStore {
-  private static final long ANSWER_MILLIS = 5;
+  private static final long RESPONSE_MILLIS = 5;
   private static final long LOST_MILLIS = 1_000;
 
   /** What happens to the next transactions. */
@@ -26,9 +26,9 @@
     /** Refused; nothing is done. */
     REFUSE,
     /** Done, but not answered. */
-    LOSE_ANSWER,
+    LOSE_RESPONSE,
     /** Not answered, and done three seconds later if its conditions still hold. */
-    DO_LATE
+    APPLY_LATE
   }
 
   private static final long LATE_MILLIS = 3_000;
@@ -42,12 +42,12 @@
   private long version = 10;
   private int transactions;
   private int reads;
-  private long deafUntilNanos;
-  private long deafSinceVersion;
+  private long feedSuppressedUntilNanos;
+  private long feedSuppressedAfterVersion;
 
   public TestingStore(EventLoop eventLoop) {
     this.eventLoop = eventLoop;
-    this.deafUntilNanos = eventLoop.nanoTime();
+    this.feedSuppressedUntilNanos = eventLoop.nanoTime();
   }
 
   /** Applies a fault to all transactions from now on. */
@@ -77,20 +77,20 @@
   public void transact(Transaction transaction, Consumer<TransactionOutcome> answer) {
     transactions++;
     switch (fault) {
-      case REFUSE -> answerLater(answer, new TransactionOutcome.Refused("busy"), ANSWER_MILLIS);
-      case LOSE_ANSWER -> {
+      case REFUSE -> respondLater(answer, new TransactionOutcome.Refused("busy"), RESPONSE_MILLIS);
+      case LOSE_RESPONSE -> {
         apply(transaction);
-        answerLater(answer, new TransactionOutcome.Unknown("lost"), LOST_MILLIS);
+        respondLater(answer, new TransactionOutcome.Unknown("lost"), LOST_MILLIS);
       }
-      case DO_LATE -> {
+      case APPLY_LATE -> {
         eventLoop.schedule(LATE_MILLIS, () -> apply(transaction));
-        answerLater(answer, new TransactionOutcome.Unknown("lost"), LOST_MILLIS);
+        respondLater(answer, new TransactionOutcome.Unknown("lost"), LOST_MILLIS);
       }
-      default -> eventLoop.schedule(ANSWER_MILLIS, () -> answer.accept(apply(transaction)));
+      default -> eventLoop.schedule(RESPONSE_MILLIS, () -> answer.accept(apply(transaction)));
     }
   }
 
-  private <T> void answerLater(Consumer<T> answer, T outcome, long millis) {
+  private <T> void respondLater(Consumer<T> answer, T outcome, long millis) {
     eventLoop.schedule(millis, () -> answer.accept(outcome));
   }
 
@@ -121,7 +121,7 @@
   public void read(RangeRead read, Consumer<ReadOutcome> answer) {
     reads++;
     if (readsFail) {
-      answerLater(answer, new ReadOutcome.Failed("down"), ANSWER_MILLIS);
+      respondLater(answer, new ReadOutcome.Failed("down"), RESPONSE_MILLIS);
       return;
     }
     List<StoredRow> found = new ArrayList<>();
@@ -134,8 +134,8 @@
         found.add(row);
       }
     }
-    answerLater(
-        answer, new ReadOutcome.Rows(found, false, version, eventLoop.nanoTime()), ANSWER_MILLIS);
+    respondLater(
+        answer, new ReadOutcome.Rows(found, false, version, eventLoop.nanoTime()), RESPONSE_MILLIS);
   }
 
   @Override
@@ -146,14 +146,14 @@
   private void watchUntil(
       String table, long afterVersion, long endNanos, Consumer<ReadOutcome> answer) {
     if (readsFail) {
-      answerLater(answer, new ReadOutcome.Failed("down"), ANSWER_MILLIS);
+      respondLater(answer, new ReadOutcome.Failed("down"), RESPONSE_MILLIS);
       return;
     }
-    boolean deaf = eventLoop.nanoTime() - deafUntilNanos < 0;
+    boolean feedSuppressed = eventLoop.nanoTime() - feedSuppressedUntilNanos < 0;
     List<StoredRow> changed =
         rows.values().stream()
             .filter(row -> row.address().table().equals(table) && row.version() > afterVersion)
-            .filter(row -> !deaf || row.version() <= deafSinceVersion)
+            .filter(row -> !feedSuppressed || row.version() <= feedSuppressedAfterVersion)
             .sorted(Comparator.comparingLong(StoredRow::version))
             .toList();
     if (changed.isEmpty() && eventLoop.nanoTime() - endNanos < 0) {
@@ -161,9 +161,12 @@
           WATCH_STEP_MILLIS, () -> watchUntil(table, afterVersion, endNanos, answer));
       return;
     }
-    long told = deaf ? Math.max(afterVersion, deafSinceVersion) : version;
-    answerLater(
-        answer, new ReadOutcome.Rows(changed, false, told, eventLoop.nanoTime()), ANSWER_MILLIS);
+    long reportedVersion =
+        feedSuppressed ? Math.max(afterVersion, feedSuppressedAfterVersion) : version;
+    respondLater(
+        answer,
+        new ReadOutcome.Rows(changed, false, reportedVersion, eventLoop.nanoTime()),
+        RESPONSE_MILLIS);
   }
 
   /** Writes a row as the operator would, whatever happens to the nodes' transactions. */
@@ -173,9 +176,9 @@
   }
 
   /** Lets the feed tell nothing of the changes that are made from now on, for a while. */
-  public void deafen(long millis) {
-    deafUntilNanos = eventLoop.nanoTime() + millis * 1_000_000;
-    deafSinceVersion = version;
+  public void suppressFeed(long millis) {
+    feedSuppressedUntilNanos = eventLoop.nanoTime() + millis * 1_000_000;
+    feedSuppressedAfterVersion = version;
   }
 
   /** The value of a row, or null. */
