--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/LeaseRow.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/LeaseRow.java
@@ -5,12 +5,12 @@
 import org.baykeel.gateway.peer.PeerAddress;
 
 /**
- * What the store keeps of a partition's lease.
+ * The stored row of a partition's lease.
  *
- * @param holder the node that holds it
- * @param incarnation identifies one life of the holder's process
- * @param expiresStoreMillis the holder does nothing under the lease once the store's clock shows
- *     this; 0 if it has given the lease back
+ * @param holder the node that holds the lease
+ * @param incarnation identifies one run of the holder's process
+ * @param expiresStoreMillis the time on the store's clock from which the holder no longer acts
+ *     under the lease; 0 if the holder has released it
  */
 record LeaseRow(PeerAddress holder, long incarnation, long expiresStoreMillis) {
   private static final byte FORMAT = 1;
@@ -27,20 +27,20 @@
   }
 
   /**
-   * Reads what {@link #encode} has written.
+   * Decodes a row written by {@link #encode}.
    *
-   * @throws IllegalArgumentException if the bytes are something else
+   * @throws IllegalArgumentException if the bytes are not a lease row
    */
   static LeaseRow decode(byte[] value) {
     ByteBuffer buffer = ByteBuffer.wrap(value);
     if (value.length <= FIXED_LENGTH || buffer.get() != FORMAT) {
-      throw new IllegalArgumentException("not a lease: " + value.length + " bytes");
+      throw new IllegalArgumentException("invalid lease row of " + value.length + " bytes");
     }
-    long life = buffer.getLong();
+    long incarnation = buffer.getLong();
     long expires = buffer.getLong();
     byte[] address = new byte[buffer.remaining()];
     buffer.get(address);
     return new LeaseRow(
-        PeerAddress.parse(new String(address, StandardCharsets.US_ASCII)), life, expires);
+        PeerAddress.parse(new String(address, StandardCharsets.US_ASCII)), incarnation, expires);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/LimitBounds.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/LimitBounds.java
@@ -1,35 +1,40 @@
 package org.baykeel.gateway.ratelimit;
 
 /**
- * How exactly limits are kept.
+ * The accuracy with which limits are enforced.
  *
- * @param holdMillis how long a token may be kept by the node that asked for it
- * @param extraTokens what a full bucket holds beyond the tenant's burst
- * @param takeoverTokens what the bucket of a tenant holds when another node takes it over
+ * @param holdMillis how long a node that requested a token may retain it before use, in
+ *     milliseconds
+ * @param extraTokens tokens that a full bucket holds in addition to the tenant's burst
+ * @param takeoverTokens tokens in a tenant's bucket when another node takes it over
  */
 public record LimitBounds(long holdMillis, double extraTokens, double takeoverTokens) {
   /**
-   * Tokens that are used later than they were given pass the rate by the rate times that delay. The
-   * operator's overage of a window covers this; the rest of it is for requests under way.
+   * A token that is used with a delay after it was granted can exceed the rate by the rate times
+   * that delay. This fraction of the operator's overage for a window covers such delays; the rest
+   * is for requests in progress.
    */
   private static final double OVERAGE_FRACTION = 0.8;
 
-  /** Requests of a slow tenant come in clumps, and its burst may be smaller than such a clump. */
+  /**
+   * Requests of a slow tenant arrive in bursts, and its configured burst may be smaller than one of
+   * them.
+   */
   private static final double EXTRA_FRACTION_OF_SLACK = 0.4;
 
   /**
-   * A bucket may change hands four times within a window, and the last holder may have emptied it
-   * just before, so each takeover gives only this part of the operator's slack. What is left of the
-   * slack is for requests that were under way when a process stood still.
+   * A bucket may change its holder four times within a window, and the last holder may have emptied
+   * it immediately before, so each takeover grants only this fraction of the operator's slack. The
+   * remaining slack is for requests that were in progress while a process was paused.
    */
   private static final double TAKEOVER_FRACTION_OF_SLACK = 0.1;
 
   /**
-   * Derives the bounds from the operator's.
+   * Derives the bounds from the operator's settings.
    *
-   * @param windowSeconds the span for which requests are counted
-   * @param overage the part by which they may pass the limit
-   * @param slack requests by which they may pass it besides
+   * @param windowSeconds the window over which requests are counted, in seconds
+   * @param overage the fraction by which the requests of a window may exceed the limit
+   * @param slack the number of requests by which they may exceed it in addition
    */
   public static LimitBounds of(double windowSeconds, double overage, double slack) {
     return new LimitBounds(
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/LimitPartition.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/LimitPartition.java
@@ -4,35 +4,35 @@
 import org.baykeel.gateway.tenancy.TenantId;
 
 /**
- * A share of the tenants whose token buckets lie at one node.
+ * A subset of the tenants whose token buckets are held by the same node.
  *
- * @param number counts from 0
+ * @param number the index of the partition, from 0 to {@code COUNT - 1}
  */
 public record LimitPartition(int number) {
   /**
-   * How many there are. Each costs a write to the store for each renewal of its lease, whoever
-   * holds it, and each node that dies takes the tenants of its partitions with it for a moment. The
-   * same at all nodes.
+   * The number of partitions; must be the same on all nodes. Each partition costs a write to the
+   * store for each renewal of its lease, whichever node holds it. When a node dies, the tenants of
+   * its partitions have no bucket until another node takes the lease over.
    */
   static final int COUNT = 16;
 
   public LimitPartition {
     if (number < 0 || number >= COUNT) {
-      throw new IllegalArgumentException("no partition " + number);
+      throw new IllegalArgumentException("partition number out of range: " + number);
     }
   }
 
-  /** The partition of a tenant. */
+  /** Returns the partition of a tenant. */
   static LimitPartition of(TenantId tenant) {
     return new LimitPartition(Math.floorMod(StableHash.of(tenant.value()), COUNT));
   }
 
-  /** The key of its row in the store. */
+  /** Returns the key of the partition's lease row in the store. */
   String key() {
     return "p" + number;
   }
 
-  /** Whether a row belongs to a partition of this version of the program. */
+  /** Returns whether a row key names a partition that exists in this version of the program. */
   static boolean isPartitionKey(String key) {
     if (!key.matches("p[0-9]{1,3}")) {
       return false;
@@ -40,12 +40,15 @@
     return Integer.parseInt(key.substring(1)) < COUNT;
   }
 
-  /** The partition of a row. */
+  /** Returns the partition of a row key for which {@link #isPartitionKey} holds. */
   static LimitPartition ofKey(String key) {
     return new LimitPartition(Integer.parseInt(key.substring(1)));
   }
 
-  /** Written out: the methods of a record are linked at run time, which costs each start. */
+  /**
+   * Implemented by hand because the generated methods of a record are linked at run time, which
+   * delays each process start.
+   */
   @Override
   public boolean equals(Object other) {
     return other instanceof LimitPartition partition && number == partition.number;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/LimitedRequest.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/LimitedRequest.java
@@ -8,15 +8,18 @@
 /**
  * A request that counts against a tenant's limit.
  *
- * @param tenant its tenant
- * @param kind its place in its program, as far as this node knows
- * @param program its program; nothing if it belongs to none
+ * @param tenant the tenant of the request
+ * @param kind whether the request starts its program or continues it, according to this node
+ * @param program the program of the request; empty if it belongs to none
  */
 public record LimitedRequest(Tenant tenant, RequestKind kind, Optional<ProgramId> program) {
-  /** Stands for a request without a program. */
+  /** The hash of a request without a program. */
   static final int NO_PROGRAM = 0;
 
-  /** A number that is the same for all requests of a program, and rarely that of another one. */
+  /**
+   * Returns a number that is the same for all requests of a program and rarely collides with that
+   * of another program.
+   */
   int programHash() {
     return program.map(id -> StableHash.of(id.value())).orElse(NO_PROGRAM);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionBuckets.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionBuckets.java
@@ -8,18 +8,28 @@
 import org.baykeel.gateway.tenancy.Tenant;
 import org.baykeel.gateway.tenancy.TenantId;
 
-/** The buckets of the tenants of one partition, at the node that holds its lease. */
+/**
+ * The token buckets of the tenants of one partition, on the node that holds the partition's lease.
+ */
 final class PartitionBuckets {
-  /** A share of the tokens that are left, so that many nodes that ask for slices all get some. */
+  /**
+   * The largest fraction of the remaining tokens that one slice takes, so that many nodes that
+   * request slices at the same time all receive some.
+   */
   private static final double MAX_SLICE_FRACTION = 0.25;
 
-  /** Programs that have begun, as they are known here; those unheard of for longest go first. */
+  /**
+   * The largest number of started programs that is remembered; the least recently used are evicted.
+   */
   private static final int MAX_PROGRAMS = 4_096;
 
-  /** The shortest time after which a refused program should come back. */
+  /** The shortest retry delay of a refused first turn. */
   private static final long MIN_FIRST_TURN_RETRY_MILLIS = 150;
 
-  /** What a program must leave to others falls while those end, so longer times mislead. */
+  /**
+   * The longest retry delay of a refused first turn. The reserve that a new program must leave
+   * shrinks as other programs finish, so longer estimates are too high.
+   */
   private static final long MAX_FIRST_TURN_RETRY_MILLIS = 2_000;
 
   private final double extraTokens;
@@ -45,11 +55,11 @@
   }
 
   /**
-   * Creates buckets.
+   * Creates the buckets of a partition, none of them in use yet.
    *
-   * @param extraTokens what a full bucket holds beyond the tenant's burst
-   * @param initialTokens what a bucket holds at first
-   * @param heldBefore whether somebody may have lent tokens of these buckets before
+   * @param extraTokens tokens that a full bucket holds in addition to the tenant's burst
+   * @param initialTokens tokens in a new bucket
+   * @param heldBefore whether an earlier holder may have lent tokens of these buckets
    */
   PartitionBuckets(double extraTokens, double initialTokens, boolean heldBefore) {
     this.extraTokens = extraTokens;
@@ -69,9 +79,11 @@
    * Decides on a request for tokens.
    *
    * @param tenant a tenant with a limit
-   * @param requested what the first of the tokens is for, as far as the node that asks knows
-   * @param programHash of its program; a program that has begun elsewhere is known here by it
-   * @param wanted how many tokens are wanted; one is enough
+   * @param requested the kind of the request for which the first token is used, according to the
+   *     querying node
+   * @param programHash the hash of the request's program; a program that has started on another
+   *     node is recognized by it
+   * @param wanted how many tokens are requested; a single token is a sufficient result
    */
   TokenDecision decide(
       Tenant tenant, RequestKind requested, int programHash, int wanted, long nowNanos) {
@@ -101,7 +113,10 @@
     return new TokenDecision(taken, firstTurnsAllowed, 0, bucket.tokens(), use);
   }
 
-  /** Tokens that a program must leave when it begins; with a full bucket it always may. */
+  /**
+   * Returns the tokens that must remain in the bucket for other programs after a first turn is
+   * admitted. A first turn is always admitted when the bucket is full.
+   */
   private static double firstTurnReserve(Account account, RateLimit limit) {
     TokenBucket bucket = account.bucket();
     double reserved =
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionLeases.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionLeases.java
@@ -18,44 +18,54 @@
 import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
- * Which node holds the lease of each partition; takes, renews and gives back leases of this node.
+ * The leases of all partitions: tracks which node holds each of them, and acquires, renews and
+ * releases the leases of this node.
  *
- * <p>Invariant: at any moment at most one life of one process believes that it holds a partition. A
- * lease is written under the condition that the row is the one that was read, with an expiry that
- * is not before the holder's own, and is taken from another holder only once the store's clock has
- * certainly passed it. A process at the holder's own address is its successor: the holder is dead.
+ * <p>Invariant: at any moment at most one incarnation of one process considers itself the holder of
+ * a partition. A lease is written on the condition that the row is unchanged since it was read, and
+ * its stored expiry is never earlier than the expiry that the holder uses for itself. It is taken
+ * from another holder only after the store's clock has certainly passed that expiry. A process at
+ * the holder's own address is its successor, since the earlier process must be dead.
  */
 public final class PartitionLeases {
   static final String TABLE = "limit";
 
   /**
-   * How long a lease lasts. Longer, and tenants of a holder that died wait longer; shorter, and an
-   * outage of the store stops tenants that might still be served, whose keys count for about as
-   * long.
+   * How long a lease lasts. With a longer lease, tenants of a dead holder wait longer. With a
+   * shorter lease, a store outage stops tenants that could still be served, since their keys remain
+   * valid for about as long.
    */
   static final long LEASE_MILLIS = 4_000;
 
   /**
-   * Renewals are more frequent than the safety of a lease asks for: what is left of the leases when
-   * the store falls silent is how long tenants with limits are served in the outage.
+   * The interval between renewals. It is shorter than the safety of a lease requires, because the
+   * remaining lease time at the start of a store outage is how long tenants with limits are served
+   * during the outage.
    */
   private static final long RENEW_MILLIS = 600;
 
-  /** Between two reads of the rows while some partition is free. */
+  /** The shortest interval between reads of the rows while some partition is free. */
   private static final long REFRESH_MILLIS = 60;
 
-  /** Between two reads for a partition whose lease runs: its holder may have given it back. */
+  /**
+   * The shortest interval between reads for a partition whose lease has not expired; its holder may
+   * have released it.
+   */
   private static final long REREAD_MILLIS = 300;
 
   /**
-   * How much longer each node waits than the one before it in the order of a free partition: a read
-   * and a write of the store, so that the later ones see what the earlier did.
+   * The additional delay of each node relative to the one before it in the order for a free
+   * partition. It covers a read and a write of the store, so that later nodes see what earlier ones
+   * have written.
    */
   private static final long WAIT_MILLIS_PER_RANK = 25;
 
   private static final int MAX_RANK = 12;
 
-  /** After a start, when the other nodes are known; free partitions are then spread evenly. */
+  /**
+   * The delay after a start until this node acquires its share of the partitions. By then the other
+   * nodes are known, so that free partitions are spread evenly.
+   */
   private static final long FIRST_ACQUIRE_MILLIS = 2_500;
 
   private final PeerAddress self;
@@ -73,14 +83,14 @@
   private long lastTenureNumber;
 
   /**
-   * A time without a gap for which this node holds a partition.
+   * An uninterrupted period during which this node holds a partition.
    *
-   * @param number counts the tenures of this life of the process
-   * @param first whether nobody ever held the partition before
+   * @param number the sequence number of the period within this incarnation of the process
+   * @param first whether no node has ever held the partition before
    */
   record Tenure(long number, boolean first) {}
 
-  /** What is known of one partition. */
+  /** The known state of one partition. */
   private static final class Partition {
     private final LimitPartition id;
     private LeaseRow row;
@@ -100,12 +110,12 @@
   }
 
   /**
-   * Creates leases of which nothing is known.
+   * Creates leases whose holders are not known yet.
    *
-   * @param self where the other nodes reach this one
-   * @param clock what the store's clock shows
-   * @param incarnation a random number that identifies this life of the process
-   * @param rank this node's place in the order in which nodes take a free partition, from 0
+   * @param self the address at which the other nodes reach this one
+   * @param clock this node's estimate of the store's clock
+   * @param incarnation a random number that identifies this run of the process
+   * @param rank this node's position, from 0, in the order in which nodes take a free partition
    */
   public PartitionLeases(
       PeerAddress self,
@@ -128,7 +138,10 @@
     }
   }
 
-  /** Learns who holds what and takes back what an earlier life of this node held. */
+  /**
+   * Reads the current holders and takes back the leases that an earlier incarnation of this node
+   * held.
+   */
   void start() {
     refresh();
     eventLoop.schedule(RENEW_MILLIS, this::renew);
@@ -143,23 +156,25 @@
     }
   }
 
-  /** Whether this node holds a partition. */
+  /** Returns whether this node holds a partition. */
   boolean holds(LimitPartition id) {
     Partition partition = partitions.get(id);
     return partition.tenure != null && eventLoop.nanoTime() - partition.validUntilNanos < 0;
   }
 
-  /** The tenure under which this node holds a partition now; nothing if it doesn't. */
+  /**
+   * Returns the tenure under which this node holds a partition now; empty if it does not hold it.
+   */
   Optional<Tenure> tenure(LimitPartition id) {
     return holds(id) ? Optional.of(partitions.get(id).tenure) : Optional.empty();
   }
 
-  /** How many partitions this node holds. */
+  /** Returns the number of partitions that this node holds. */
   public int held() {
     return (int) partitions.keySet().stream().filter(this::holds).count();
   }
 
-  /** The other node that holds a partition, as far as is known. */
+  /** Returns the other node that holds a partition, according to the last row that was received. */
   Optional<PeerAddress> holder(LimitPartition id) {
     LeaseRow row = partitions.get(id).row;
     if (row == null || row.expiresStoreMillis() == 0 || row.holder().equals(self)) {
@@ -168,7 +183,10 @@
     return Optional.of(row.holder());
   }
 
-  /** Nobody is known to hold a partition, or its holder is silent: looks, and takes it if free. */
+  /**
+   * Requests a partition that has no known holder or whose holder does not respond: reads the rows
+   * and acquires the lease if it is free.
+   */
   void requestLease(LimitPartition id) {
     Partition partition = partitions.get(id);
     if (holds(id) || partition.writing || partition.delayed) {
@@ -212,7 +230,7 @@
     }
   }
 
-  /** Adopts a row unless a newer one is known. */
+  /** Applies a row unless a newer version of it is known. */
   private void adopt(StoredRow stored) {
     if (stored.removed() || !LimitPartition.isPartitionKey(stored.address().key())) {
       return;
@@ -249,7 +267,10 @@
     eventLoop.schedule(position * WAIT_MILLIS_PER_RANK, () -> onDelayOver(partition));
   }
 
-  /** The nodes before this one had their time; whether they used it, the rows tell. */
+  /**
+   * Called when the nodes before this one have had their time. Reads the rows to find out whether
+   * one of them has taken the lease.
+   */
   private void onDelayOver(Partition partition) {
     partition.delayed = false;
     partition.delayOver = true;
@@ -266,7 +287,7 @@
         && clock.earliestStoreMillis(eventLoop.nanoTime()) > row.expiresStoreMillis();
   }
 
-  /** Takes or renews a lease. */
+  /** Acquires or renews a lease. */
   private void write(Partition partition) {
     if (!clock.known() || partition.writing) {
       return;
@@ -319,7 +340,8 @@
   private void onConflict(Partition partition) {
     boolean own = partition.row != null && partition.row.incarnation() == incarnation;
     if (own) {
-      // An earlier try of this process was done after all; the lease goes on from there.
+      // An earlier write of this process was applied although its outcome was unknown.
+      // The lease continues from there.
       write(partition);
     } else if (partition.tenure != null) {
       partition.tenure = null;
@@ -339,7 +361,10 @@
     }
   }
 
-  /** Renews this node's leases now, since the store has just come back. */
+  /**
+   * Renews all leases of this node now; called at each renewal interval and when the store becomes
+   * reachable again.
+   */
   void renewAll() {
     for (Partition partition : partitions.values()) {
       if (partition.tenure != null && !partition.writing) {
@@ -348,7 +373,7 @@
     }
   }
 
-  /** Gives all leases back, for a planned stop. */
+  /** Releases all leases, for a planned stop. */
   void stop() {
     stopped = true;
     for (Partition partition : partitions.values()) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionOrder.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionOrder.java
@@ -7,17 +7,17 @@
 import org.baykeel.gateway.peer.RendezvousOrder;
 
 /**
- * This node's place in the order in which nodes take a free partition. Where nodes claim the same
- * place, the store decides between them.
+ * This node's position in the order in which nodes take a free partition. If several nodes compute
+ * the same position, the conditional write to the store decides between them.
  */
 public final class PartitionOrder implements ToIntFunction<LimitPartition> {
   private final RendezvousOrder order;
 
   /**
-   * Creates an order.
+   * Creates an order over a changing set of nodes.
    *
    * @param self this node
-   * @param peers the other nodes known now
+   * @param peers supplies the other nodes that are known now
    */
   public PartitionOrder(PeerAddress self, Supplier<Collection<PeerAddress>> peers) {
     this.order = new RendezvousOrder(self, peers);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RequestKind.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RequestKind.java
@@ -1,10 +1,13 @@
 package org.baykeel.gateway.ratelimit;
 
-/** Which requests of a tenant go first when it asks for more than its limit. */
+/**
+ * The kind of a request, which determines the order in which requests of a tenant above its limit
+ * get tokens.
+ */
 public enum RequestKind {
   /**
-   * The first request of a program. Only whole programs are worth anything, so a program that
-   * cannot be finished within the limit is better not begun.
+   * The first turn of a program. Only finished programs have value, so a program that cannot finish
+   * within the limit should not start.
    */
   FIRST_TURN {
     @Override
@@ -12,7 +15,7 @@
       return Math.min(capacity * RequestKind.RESERVED_FRACTION, capacity - 1);
     }
   },
-  /** A request of a program that has begun. */
+  /** A request of a program that has started, or of no program. */
   CONTINUING {
     @Override
     double reserve(double capacity) {
@@ -20,13 +23,13 @@
     }
   };
 
-  /** The part of a bucket that is kept for programs that have begun. */
+  /** The fraction of a bucket that is reserved for programs that have started. */
   private static final double RESERVED_FRACTION = 0.5;
 
   /**
-   * Tokens that must stay in the bucket of a tenant that is beyond its limit.
+   * Returns the tokens that must remain in the bucket of a tenant that is above its limit.
    *
-   * @param capacity what the bucket holds when it is full
+   * @param capacity the tokens in a full bucket
    */
   abstract double reserve(double capacity);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RequestLimiter.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RequestLimiter.java
@@ -6,41 +6,41 @@
 /** Decides whether a request of a tenant may run within the tenant's limit. */
 @FunctionalInterface
 public interface RequestLimiter {
-  /** Lets every request run. */
+  /** Allows every request. */
   RequestLimiter NONE = (request, timeoutMillis, answer) -> answer.accept(new Decision.Allowed());
 
-  /** What was decided on a request. */
+  /** The decision on a request. */
   sealed interface Decision {
     /**
-     * It may run, once.
+     * The request may run, once.
      *
-     * @param use what its tenant asked for lately
+     * @param use the tenant's current demand relative to its limit
      */
     record Allowed(LimitUse use) implements Decision {
-      /** For a tenant of whose use nothing is known. */
+      /** Creates a decision for a tenant whose demand is not known. */
       public Allowed() {
         this(LimitUse.UNKNOWN);
       }
     }
 
     /**
-     * The tenant is beyond its limit.
+     * The tenant is above its limit.
      *
-     * @param retryMillis when the request may be tried again with some hope
-     * @param remaining requests that might still run, kept for others
+     * @param retryMillis the delay in milliseconds after which a retry may succeed
+     * @param remaining tokens that remain in the bucket but are reserved for other requests
      */
     record Exceeded(long retryMillis, double remaining) implements Decision {}
 
-    /** Nobody could be asked in time. */
+    /** The node that holds the tenant's bucket could not be queried in time. */
     record Undecided() implements Decision {}
   }
 
   /**
    * Decides on one request.
    *
-   * @param request what is known of it
-   * @param timeoutMillis the longest time that the decision may take
-   * @param answer takes the decision, exactly once, possibly before this returns
+   * @param request the request and the state of its program
+   * @param timeoutMillis the longest time that the decision may take, in milliseconds
+   * @param answer receives the decision exactly once, possibly before this method returns
    */
   void decide(LimitedRequest request, long timeoutMillis, Consumer<Decision> answer);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RunningPrograms.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RunningPrograms.java
@@ -1,27 +1,36 @@
 package org.baykeel.gateway.ratelimit;
 
 /**
- * The programs of one tenant that run, and how much of its limit they use.
+ * An estimate of the number of running programs of one tenant and of the share of its limit that
+ * they use.
  *
- * <p>A program that begins asks for little at first and for its rest later, so the tokens that are
- * left do not tell whether there is room for it. What does is how many programs run times the
- * tokens that each of them usually takes. A program is counted in full when it is heard of and less
- * from then on, so that those that ended drop out by themselves.
+ * <p>A program requests few tokens at its start and the rest later, so the remaining tokens do not
+ * show whether the limit suffices for another program. The limiter therefore uses the number of
+ * running programs times the tokens that each of them usually takes. A program counts as one when
+ * it is granted tokens, and its weight decays from then on, so programs that have finished drop out
+ * without a notice.
  */
 final class RunningPrograms {
-  /** The rest of a program is most likely over when it was silent for several such spans. */
+  /**
+   * The time constant with which the weight of a program decays. A program without a request for
+   * several such spans has most likely finished.
+   */
   private static final double DECAY_NANOS = 5e8;
 
-  /** The span over which a program's usual tokens and time are averaged. */
+  /** The span over which the usual tokens and duration of a program are averaged. */
   private static final double AVERAGING_NANOS = 20e9;
 
   /**
-   * Programs that began in a rush have nearly all of their time before them, and the time that they
-   * take is seen too short while more begin than end.
+   * The remaining time of a program relative to the average duration. Programs that started in a
+   * burst have nearly all of their time ahead of them, and the average duration is underestimated
+   * while more programs start than finish.
    */
   private static final double REMAINING_PART_OF_DURATION = 1.5;
 
-  /** By so many standard deviations more programs than the rate serves may run by chance. */
+  /**
+   * The number of standard deviations by which the number of running programs may exceed, by
+   * chance, the number that the rate sustains.
+   */
   private static final double DEVIATIONS = 1;
 
   private double running;
@@ -32,23 +41,26 @@
   private double startsPerSecond;
   private long asOfNanos;
 
-  /** Creates a view in which nothing runs. */
+  /** Creates an estimate without running programs. */
   RunningPrograms(long nowNanos) {
     asOfNanos = nowNanos;
   }
 
-  /** The tokens that a program that runs usually takes in a span. */
+  /** Returns the tokens that a running program usually takes within one decay span. */
   private double tokensPerProgram() {
     return averagedRunning > 0 ? averagedTokens / averagedRunning : 0;
   }
 
-  /** How long programs go on asking: as many run as begin while one of them runs. */
+  /**
+   * Returns for how long programs continue to make requests. By Little's law the average duration
+   * is the average number of running programs divided by the rate of starts.
+   */
   private double remainingSeconds() {
     double durationSeconds = startsPerSecond > 0 ? averagedRunning / startsPerSecond : 0;
     return durationSeconds * REMAINING_PART_OF_DURATION;
   }
 
-  /** Lets the time come. */
+  /** Advances the averages and decays the counts to the given time. */
   void advance(long nowNanos) {
     double nanos = Math.max(0, nowNanos - asOfNanos);
     asOfNanos = nowNanos;
@@ -63,9 +75,11 @@
   }
 
   /**
-   * Notes tokens that were given to a program.
+   * Records tokens that were granted to a program.
    *
-   * @param silentNanos how long it had not been heard of; {@link Long#MAX_VALUE} if never
+   * @param tokens the number of tokens
+   * @param silentNanos the time since tokens were last granted to the program; {@link
+   *     Long#MAX_VALUE} if they never were
    */
   void recordGranted(int tokens, long silentNanos) {
     running -= Math.expm1(-silentNanos / DECAY_NANOS);
@@ -75,15 +89,16 @@
     }
   }
 
-  /** Notes tokens for requests that belong to no program. */
+  /** Records tokens that were granted to requests without a program. */
   void recordGrantedToOthers(int tokens) {
     otherTokens += tokens;
   }
 
   /**
-   * The tokens that must be there when one more program begins, so that all that run get to their
-   * end: what they will ask for beyond what the rate brings. None, while no more run than may by
-   * chance where the rate is enough on average.
+   * Returns the tokens that must be available when one more program starts, so that all running
+   * programs can finish: the tokens that they will request beyond what the rate supplies. Returns 0
+   * while the number of running programs is within chance variation of what the rate sustains on
+   * average.
    *
    * @param tokensPerSecond the limit's rate
    */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/SharedRequestLimiter.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/SharedRequestLimiter.java
@@ -21,30 +21,36 @@
 import org.baykeel.gateway.tenancy.TenantId;
 
 /**
- * Gets a token for each request of a tenant with a limit: from a slice in hand, from its own bucket
- * if this node holds the tenant's partition, else from the node that does.
+ * Obtains a token for each request of a tenant with a limit: from a slice that this node has, from
+ * this node's own bucket if it holds the tenant's partition, otherwise from the node that holds it.
  *
- * <p>Invariant: a token is used at this node only until {@link LimitBounds#holdMillis} after the
- * first question for it was sent, so it was given at most that long before, whatever delayed the
- * answer.
+ * <p>Invariant: a token is used on this node only until {@link LimitBounds#holdMillis} after the
+ * first query for it was sent, so it was granted at most that long before its use, however long the
+ * reply was delayed.
  */
 public final class SharedRequestLimiter implements RequestLimiter, PeerMessageListener {
-  /** A little work at a slow node; what the way there and back takes comes on top. */
+  /**
+   * The base delay until a query is sent again: the processing time of a slow node. The round trip
+   * to the holder is added.
+   */
   private static final long FIRST_RETRY_MILLIS = 30;
 
-  /** Between two tries while nobody holds the partition. */
+  /** The delay between attempts while no node holds the partition. */
   private static final long NO_HOLDER_RETRY_MILLIS = 20;
 
-  /** Silent tries after which the rows of the leases are read again. */
+  /** The number of unanswered attempts after which the lease rows are read again. */
   private static final int ATTEMPTS_BEFORE_REREAD = 2;
 
-  /** The part of the time for which tokens may be kept that a slice should last. */
+  /** The fraction of the hold time for which a slice should last. */
   private static final double SLICE_FRACTION_OF_HOLD = 0.5;
 
-  /** More tokens are never given in one answer. */
+  /** The most tokens in one reply. */
   private static final int MAX_SLICE = 64;
 
-  /** Answers that are kept so that a question that is doubled gets the same one. */
+  /**
+   * The number of sent replies that are retained, so that a duplicated query receives the same
+   * reply.
+   */
   private static final int MAX_SENT_REPLIES = 512;
 
   /** The span over which this node's own demand is averaged. */
@@ -57,7 +63,7 @@
   private final LimitBounds bounds;
   private final Function<TenantId, Optional<Tenant>> tenants;
   private final ProofExchange proofs;
-  private final PeerLatency distance;
+  private final PeerLatency peerLatency;
   private final GatewayMetrics metrics;
   private final Map<LimitPartition, HeldBuckets> buckets = new HashMap<>();
   private final Map<TenantId, LocalDemand> localDemands = new HashMap<>();
@@ -75,7 +81,7 @@
   private long lastCorrelationId;
   private boolean started;
 
-  /** A question of another node. */
+  /** Identifies a query of another node. */
   private record QueryKey(PeerAddress sender, long correlationId) {
     @Override
     public boolean equals(Object other) {
@@ -90,13 +96,16 @@
     }
   }
 
-  /** What this node itself uses of a tenant's limit. */
+  /** This node's own demand for the tokens of a tenant, and the slice that it has. */
   private static final class LocalDemand {
     private final TokenSlice slice = new TokenSlice();
     private double demand;
     private long updatedNanos;
 
-    /** Notes a request and returns how many came lately, in one span of averaging. */
+    /**
+     * Records a request and returns the decayed number of requests, about those of the last
+     * averaging span.
+     */
     double recordRequest(long nowNanos) {
       demand = demand * Math.exp(-(nowNanos - updatedNanos) / DEMAND_AVERAGING_NANOS) + 1;
       updatedNanos = nowNanos;
@@ -104,19 +113,20 @@
     }
   }
 
-  /** Buckets and the tenure under which they were begun. */
+  /** The buckets of a partition and the tenure under which they were created. */
   private record HeldBuckets(PartitionLeases.Tenure tenure, PartitionBuckets buckets) {}
 
   /**
    * Creates a limiter.
    *
-   * @param leases who holds which partition
-   * @param transport the way to the other nodes
-   * @param bounds how exactly limits are kept
-   * @param tenants the tenants of the configuration in force
-   * @param proofs what proves the configuration; answers carry it along
-   * @param distance how far the holders are
-   * @param firstCorrelationId a random number, so that no question is like one of an earlier life
+   * @param leases the leases of all partitions
+   * @param transport sends datagrams to the other nodes
+   * @param bounds the accuracy with which limits are enforced
+   * @param tenants finds the tenants of the active configuration
+   * @param proofs the proofs of the configuration, which replies carry
+   * @param peerLatency the round trips to the holders
+   * @param firstCorrelationId a random number, so that no query has the id of one from an earlier
+   *     incarnation
    */
   @SuppressWarnings("ParameterNumber")
   public SharedRequestLimiter(
@@ -127,7 +137,7 @@
       LimitBounds bounds,
       Function<TenantId, Optional<Tenant>> tenants,
       ProofExchange proofs,
-      PeerLatency distance,
+      PeerLatency peerLatency,
       long firstCorrelationId,
       GatewayMetrics metrics) {
     this.leases = leases;
@@ -138,13 +148,13 @@
     this.tenants = tenants;
     this.lastCorrelationId = firstCorrelationId;
     this.proofs = proofs;
-    this.distance = distance;
+    this.peerLatency = peerLatency;
     this.metrics = metrics;
   }
 
   /**
-   * Begins to take part in holding buckets, if it has not yet. It costs calls to the store, so it
-   * is done only where a tenant has a limit.
+   * Starts to take part in holding buckets, unless that has happened already. This costs calls to
+   * the store, so it happens only if some tenant has a limit.
    */
   public void start() {
     if (!started) {
@@ -153,17 +163,17 @@
     }
   }
 
-  /** Gives back what this node holds, for a planned stop. */
+  /** Releases the leases of this node, for a planned stop. */
   public void stop() {
     leases.stop();
   }
 
-  /** The store answers again after a time without. */
+  /** Called when the store is reachable again after an outage; renews the leases of this node. */
   public void onStoreReachable() {
     leases.renewAll();
   }
 
-  /** How many partitions this node holds. */
+  /** Returns the number of partitions that this node holds. */
   public int partitionsHeld() {
     return leases.held();
   }
@@ -189,7 +199,7 @@
     new TokenQuery(++lastCorrelationId, request, wanted, timeoutMillis, answer).proceed();
   }
 
-  /** Decides from this node's own bucket; nothing if it does not hold the partition. */
+  /** Decides with this node's own bucket; empty if this node does not hold the partition. */
   private Optional<TokenDecision> decideLocally(
       Tenant tenant, RequestKind kind, int programHash, int wanted) {
     LimitPartition partition = LimitPartition.of(tenant.id());
@@ -202,10 +212,10 @@
   private PartitionBuckets bucketsOf(LimitPartition partition, PartitionLeases.Tenure tenure) {
     HeldBuckets held = buckets.get(partition);
     if (held == null || held.tenure() != tenure) {
-      double firstTokens = tenure.first() ? Double.MAX_VALUE : bounds.takeoverTokens();
+      double initialTokens = tenure.first() ? Double.MAX_VALUE : bounds.takeoverTokens();
       held =
           new HeldBuckets(
-              tenure, new PartitionBuckets(bounds.extraTokens(), firstTokens, !tenure.first()));
+              tenure, new PartitionBuckets(bounds.extraTokens(), initialTokens, !tenure.first()));
       buckets.put(partition, held);
     }
     return held.buckets();
@@ -238,7 +248,7 @@
   private PeerMessage.LimitTokenReply replyTo(PeerMessage.LimitTokenRequest request) {
     Tenant tenant = tenants.apply(request.tenant()).orElse(null);
     if (tenant == null || tenant.limit().unlimited()) {
-      // Another configuration is in force there; it will not be so for long.
+      // The other node has a different configuration, which is a short-lived state.
       return PeerMessage.LimitTokenReply.notHeld(request.correlationId());
     }
     int wanted = Math.max(1, Math.min(MAX_SLICE, request.wanted()));
@@ -325,7 +335,7 @@
           codec.encode(
               new PeerMessage.LimitTokenRequest(
                   id, wanted, firstTurn, request.programHash(), request.tenant().id())));
-      retryIn(FIRST_RETRY_MILLIS * attempts + distance.roundTripMillis(holder));
+      retryIn(FIRST_RETRY_MILLIS * attempts + peerLatency.roundTripMillis(holder));
     }
 
     private void retryIn(long millis) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/TokenBucket.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/TokenBucket.java
@@ -4,23 +4,28 @@
 import org.baykeel.gateway.tenancy.RateLimit;
 
 /**
- * Tokens that fill up at a rate.
+ * A token bucket that refills at a fixed rate.
  *
- * <p>Invariant: in any span of time no more tokens may be used than the bucket held at its begin
- * plus the rate times the span. A token that is lent is one that the rate has not brought yet; it
- * may be used only when it has.
+ * <p>Invariant: in any period no more tokens are usable than the bucket held at its start plus the
+ * rate times its length. A lent token is one that the rate has not supplied yet; it becomes usable
+ * only when the rate has supplied it.
  */
 final class TokenBucket {
-  /** The span over which the demand is averaged: long against the gaps of a slow tenant. */
+  /**
+   * The span over which the demand is averaged; it is long compared with the intervals between
+   * requests of a slow tenant.
+   */
   private static final double DEMAND_AVERAGING_NANOS = 1e9;
 
-  /** Requests that come by chance pass their mean by this many standard deviations rarely. */
+  /**
+   * The number of standard deviations by which randomly arriving requests rarely exceed their mean.
+   */
   private static final double DEVIATIONS = 2;
 
   /**
-   * How long a request of a program that runs may wait for its token: less than a refused caller
-   * loses by coming back. Requests of programs come in clumps, after which the rate brings what the
-   * bucket lacks within such a wait.
+   * The longest time that a request of a running program may wait for its token. It is shorter than
+   * the delay of a refused caller that retries. Requests of programs arrive in bursts, after which
+   * the rate supplies the missing tokens within such a wait.
    */
   private static final double MAX_WAIT_SECONDS = 0.25;
 
@@ -33,8 +38,8 @@
   /**
    * Creates a bucket.
    *
-   * @param extraTokens what it holds beyond the limit's burst when it is full
-   * @param tokens what it holds now; no more than its capacity counts
+   * @param extraTokens tokens that a full bucket holds in addition to the limit's burst
+   * @param tokens the initial tokens; capped at the capacity
    */
   TokenBucket(RateLimit limit, double extraTokens, double tokens, long nowNanos) {
     this.limit = limit;
@@ -43,12 +48,15 @@
     this.filledNanos = nowNanos;
   }
 
-  /** What it holds when it is full; without a burst still one request may run at a time. */
+  /**
+   * Returns the tokens in a full bucket. It is at least 1, so a limit without a burst still allows
+   * one request at a time.
+   */
   double capacity() {
     return Math.max(1, limit.burst()) + extraTokens;
   }
 
-  /** Fills the bucket for the time that passed and takes a changed limit into account. */
+  /** Refills the bucket for the elapsed time and applies a changed limit. */
   void advance(RateLimit current, long nowNanos) {
     double nanos = Math.max(0, nowNanos - filledNanos);
     filledNanos = nowNanos;
@@ -58,27 +66,31 @@
     demand *= Math.exp(-nanos / DEMAND_AVERAGING_NANOS);
   }
 
-  /** Notes that tokens were asked for, given or not. */
+  /** Records requested tokens, whether granted or not. */
   void recordDemand(int count) {
     demand += count;
   }
 
-  /** Takes tokens, no more than there are. */
+  /** Takes up to the given number of tokens and returns how many were taken. */
   int take(int count) {
     int taken = (int) Math.max(0, Math.min(count, Math.floor(tokens)));
     tokens -= taken;
     return taken;
   }
 
-  /** The most that it may owe: what the rate brings while a request may wait for its token. */
+  /**
+   * Returns the most tokens that the bucket may owe: those that the rate supplies while a request
+   * may wait for its token.
+   */
   private double maxDebt() {
     return limit.requestsPerSecond() * MAX_WAIT_SECONDS;
   }
 
   /**
-   * Lends a token that the rate will bring soon.
+   * Lends a token that the rate will supply soon.
    *
-   * @return when it may be used, in milliseconds from now; negative if too many are owed
+   * @return the delay until the token may be used, in milliseconds; negative if too many tokens are
+   *     owed already
    */
   long lend() {
     if (tokens - 1 < -maxDebt()) {
@@ -89,8 +101,8 @@
   }
 
   /**
-   * Owes what the bucket of another holder may have lent before it ended, so that what both give
-   * stays within the rate.
+   * Deducts the tokens that an earlier holder's bucket may have lent before its lease ended, so
+   * that the tokens granted by both stay within the rate.
    */
   void deductPossibleLoans() {
     tokens -= maxDebt();
@@ -100,20 +112,29 @@
     return tokens;
   }
 
-  /** Whether more was asked for lately than the limit allows for long, chance set aside. */
+  /**
+   * Returns whether the demand of about the last second exceeds the limit's rate by more than
+   * chance variation.
+   */
   boolean demandExceedsLimit() {
     double allowed = limit.requestsPerSecond() * (DEMAND_AVERAGING_NANOS * 1e-9);
     return demand > allowed + DEVIATIONS * Math.sqrt(allowed);
   }
 
-  /** What was asked for lately; chance brings it above the limit rarely. */
+  /**
+   * Returns the demand of about the last second relative to the limit; chance variation rarely
+   * raises it above 1.
+   */
   LimitUse use() {
     double allowed = limit.requestsPerSecond() * (DEMAND_AVERAGING_NANOS * 1e-9);
     double certain = demand - DEVIATIONS * Math.sqrt(allowed);
     return new LimitUse(Math.max(Math.min(demand, allowed), certain) / allowed);
   }
 
-  /** When the bucket will hold so many tokens, if none is taken until then. */
+  /**
+   * Returns the time in milliseconds until the bucket holds the given number of tokens, if none is
+   * taken before.
+   */
   long millisUntil(double wanted) {
     return (long) Math.ceil(Math.max(0, wanted - tokens) / limit.requestsPerSecond() * 1_000);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/TokenDecision.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/TokenDecision.java
@@ -3,14 +3,14 @@
 import org.baykeel.gateway.tenancy.LimitUse;
 
 /**
- * What the holder of a bucket decides.
+ * The decision of the node that holds a bucket.
  *
- * @param tokens tokens given; 0 if none
- * @param firstTurnsAllowed whether programs may begin with them
- * @param retryMillis when there will be some, if none were given; otherwise when those that were
- *     given may be used
- * @param remaining what the bucket still holds
- * @param use what the tenant asked for lately
+ * @param tokens the number of granted tokens; 0 if none
+ * @param firstTurnsAllowed whether first turns of programs may use the tokens
+ * @param retryMillis if no tokens were granted, the delay in milliseconds until some are available;
+ *     otherwise the delay until the granted tokens may be used
+ * @param remaining the tokens that remain in the bucket
+ * @param use the tenant's current demand relative to its limit
  */
 record TokenDecision(
     int tokens, boolean firstTurnsAllowed, long retryMillis, double remaining, LimitUse use) {}
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/TokenSlice.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/TokenSlice.java
@@ -2,14 +2,14 @@
 
 import org.baykeel.gateway.tenancy.LimitUse;
 
-/** Tokens of one tenant that this node has asked for and not used yet. */
+/** Tokens of one tenant that this node has been granted and has not used yet. */
 final class TokenSlice {
   private int tokens;
   private long expiresNanos;
   private boolean firstTurnsAllowed;
   private LimitUse use = LimitUse.UNKNOWN;
 
-  /** Takes one token if there is one for a request of the kind. */
+  /** Takes one token if the slice has one for a request of the given kind. */
   boolean take(RequestKind kind, long nowNanos) {
     if (tokens == 0 || nowNanos - expiresNanos >= 0) {
       return false;
@@ -21,7 +21,7 @@
     return true;
   }
 
-  /** What the tenant asked for lately, as it was told with the last tokens. */
+  /** Returns the tenant's demand relative to its limit, as received with the last tokens. */
   LimitUse use() {
     return use;
   }
@@ -29,9 +29,10 @@
   /**
    * Adds tokens.
    *
-   * @param expires when the added ones are over; those that were left may end earlier by it
-   * @param newUse what the tenant asked for lately
-   * @return tokens that were over and are lost
+   * @param expires when the added tokens expire; unused tokens of the slice may expire earlier
+   *     because of it
+   * @param newUse the tenant's current demand relative to its limit
+   * @return the number of expired tokens, which are lost
    */
   int add(int added, long expires, boolean allowed, LimitUse newUse, long nowNanos) {
     use = newUse;
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestLimitUnderLoad.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestLimitUnderLoad.java
@@ -13,9 +13,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Programs of ten requests, by tenants with a limit of twice their usual: usual demand for twenty
- * seconds, eight times it of one of them for six, usual for six. A program whose first request is
- * refused comes back once, when it was told to.
+ * Simulates two tenants with programs of ten requests and a limit of twice their usual demand. Both
+ * have their usual demand for 20 s, then one of them has eight times that for 6 s, then both have
+ * their usual demand for 6 s. A program whose first turn is refused retries once, after the delay
+ * that it received. Guards against an overload that breaks off running programs or affects the
+ * other tenant.
  */
 class TestLimitUnderLoad {
   private static final int REQUESTS = 10;
@@ -35,7 +37,7 @@
   private int lastProgram;
   private long startNanos;
 
-  /** What became of the programs of one tenant. */
+  /** The outcome of the programs of one tenant. */
   private final class Load {
     private final Tenant tenant;
     private int offered;
@@ -107,13 +109,13 @@
     }
   }
 
-  @ParameterizedTest(name = "a request each {0} ms, seed {1}")
+  @ParameterizedTest(name = "a request every {0} ms, seed {1}")
   @CsvSource({"250, 1", "250, 2", "250, 3", "250, 4", "100, 5", "100, 6", "800, 7", "800, 8"})
   void overloadedTenantLosesNewProgramsNotRunningOnes(long pause, long seed) {
     pauseMillis = pause;
     run(seed);
-    assertTrue(hot.started < hot.offered, "begun " + hot.started + " of " + hot.offered);
-    assertTrue(hot.aborted <= 0.1 * hot.started, "broken " + hot.aborted + " of " + hot.started);
+    assertTrue(hot.started < hot.offered, "started " + hot.started + " of " + hot.offered);
+    assertTrue(hot.aborted <= 0.1 * hot.started, "aborted " + hot.aborted + " of " + hot.started);
   }
 
   @ParameterizedTest(name = "seed {0}")
@@ -133,7 +135,10 @@
     assertEquals(0, usual.aborted);
   }
 
-  /** Half of the limit for a minute, without a rush, also where few programs make up the limit. */
+  /**
+   * Demand of half the limit for a minute without a burst, also where few programs make up the
+   * limit.
+   */
   @ParameterizedTest(name = "{0} programs a second, seed {1}")
   @CsvSource({"6, 1", "3, 2", "1, 3", "0.5, 4", "0.3, 5", "0.3, 6"})
   void tenantWithinItsLimitIsRarelyRefused(double perSecond, long seed) {
@@ -143,7 +148,7 @@
     assertTrue(lost <= 0.1 * load.offered, lost + " of " + load.offered);
   }
 
-  /** Nine tenths of the limit for a minute, without a rush. */
+  /** Demand of nine tenths of the limit for a minute without a burst. */
   @ParameterizedTest(name = "seed {0}")
   @ValueSource(longs = {1, 2, 3, 4, 5})
   void tenantJustBelowItsLimitIsRarelyRefused(long seed) {
@@ -162,7 +167,7 @@
     }
   }
 
-  /** One program asks for more than the rate, and the burst covers it. */
+  /** A single program requests more than the rate, and the burst covers it. */
   @Test
   void programThatFitsIntoAFullBucketStartsAtALowRate() {
     Load load = new Load("slow", 1);
@@ -193,6 +198,6 @@
       eventLoop.advance(1);
     }
     double mean = sum / decisions;
-    assertTrue(mean >= least && mean <= most, "told " + mean);
+    assertTrue(mean >= least && mean <= most, "demand " + mean);
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestSharedRequestLimiter.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestSharedRequestLimiter.java
@@ -38,7 +38,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Two nodes and strangers: leases, questions and answers, and whatever else may arrive. */
+/**
+ * Tests leases, queries and replies between two nodes, and datagrams from senders that are no peers
+ * or whose contents are invalid.
+ */
 class TestSharedRequestLimiter {
   private static final Tenant TENANT = TestingTenancy.tenant("t", 10, 10);
   private static final PeerAddress HOLDER = new PeerAddress("10.0.0.1", 7_000);
@@ -46,7 +49,7 @@
   private static final PeerAddress UNKNOWN_NODE = new PeerAddress("10.0.0.9", 7_000);
   private static final int CAPACITY = 18;
 
-  /** Tokens that the rate brings while a request may wait for one. */
+  /** The tokens that the rate supplies while a request may wait for one. */
   private static final int LENT = 2;
 
   private final TestingEventLoop eventLoop = new TestingEventLoop();
@@ -134,7 +137,7 @@
     assertTrue(refused.retryMillis() > 0 && refused.retryMillis() <= 1_000);
   }
 
-  /** Deployments without tenants pay nothing for limits. */
+  /** A deployment without tenants must not pay for limits with calls to the store. */
   @Test
   void storeIsNotCalledBeforeATenantHasALimit() {
     create(OTHER);
@@ -162,7 +165,9 @@
     return ((Decision.Allowed) decisions.get(index)).use().multiple();
   }
 
-  /** Five times the limit at the holder; the other node sees one request of it. */
+  /**
+   * The demand at the holder is five times the limit; the other node has a single request of it.
+   */
   @Test
   void eachNodeReceivesTheDemandOverAllNodes() {
     startBoth();
@@ -174,7 +179,7 @@
     decisions.clear();
     request(OTHER, 1);
     eventLoop.advance(300);
-    assertTrue(receivedUse(0) > 2, "told " + receivedUse(0));
+    assertTrue(receivedUse(0) > 2, "demand " + receivedUse(0));
   }
 
   @Test
@@ -194,7 +199,7 @@
     assertEquals(LimitUse.UNKNOWN.multiple(), receivedUse(0));
   }
 
-  /** The answer as a node of the version before writes it: without the field at its end. */
+  /** The reply as a node of the previous version writes it, without the last field. */
   @Test
   void replyOfAnOlderNodeHasNoDemand() {
     LimitTokenReply reply =
@@ -237,7 +242,7 @@
     assertInstanceOf(Decision.Undecided.class, decisions.get(0));
   }
 
-  /** The rows are those of a node that died just after it had written them. */
+  /** The rows are those of a node that died immediately after it had written them. */
   @Test
   void leaseIsTakenOnlyAfterItHasCertainlyExpired() {
     long expiresMillis = eventLoop.nanoTime() / 1_000_000 + PartitionLeases.LEASE_MILLIS;
@@ -256,7 +261,10 @@
     assertTrue(allowed() > 0);
   }
 
-  /** What the other holder gave in between is not known; the bucket may have been emptied. */
+  /**
+   * The tokens granted by the other holder in between are unknown, and it may have emptied the
+   * bucket.
+   */
   @Test
   void bucketHeldElsewhereInBetweenStartsNearlyEmpty() {
     start(HOLDER);
@@ -275,7 +283,7 @@
     assertTrue(allowed() > 0 && allowed() < 10, "allowed " + allowed());
   }
 
-  @ParameterizedTest(name = "a token of a slice {0} ms later: usable {1}")
+  @ParameterizedTest(name = "{0} ms after the tokens were added: usable {1}")
   @CsvSource({"0, true", "399, true", "400, false", "9000, false"})
   void tokenOfASliceExpires(long laterMillis, boolean usable) {
     TokenSlice slice = new TokenSlice();
@@ -304,7 +312,7 @@
     assertEquals(LimitPartition.COUNT, nodes.get(HOLDER).partitionsHeld());
     decisions.clear();
     request(HOLDER, 30);
-    assertEquals(0, allowed(), "the one before may have lent some");
+    assertEquals(0, allowed(), "the earlier incarnation may have lent tokens");
     eventLoop.advance(250);
     assertEquals(2, allowed());
     eventLoop.advance(1_000);
@@ -323,7 +331,7 @@
     assertEquals(1, allowed());
   }
 
-  /** A request that has little time is told at once rather than after its time. */
+  /** A request that cannot wait long enough is refused at once, not when its time is over. */
   @Test
   void requestIsRefusedAtOnceIfItsTokenComesTooLate() {
     startBoth();
@@ -351,7 +359,7 @@
     deliver(UNKNOWN_NODE, HOLDER, new LimitTokenRequest(1, 65_000, false, 0, TENANT.id()));
     deliver(UNKNOWN_NODE, HOLDER, new LimitTokenRequest(2, -7, false, 0, TENANT.id()));
     request(HOLDER, 30);
-    assertTrue(allowed() >= CAPACITY * 0.6, "left " + allowed());
+    assertTrue(allowed() >= CAPACITY * 0.6, "allowed " + allowed());
   }
 
   @Test
@@ -402,7 +410,10 @@
     assertEquals(1, allowed());
   }
 
-  /** A token is used only shortly after it was asked for, whatever delayed the answer. */
+  /**
+   * A token may be used only for a limited time after its query, however long the reply was
+   * delayed.
+   */
   @Test
   void lateReplyGrantsNothing() {
     startBoth();
@@ -418,7 +429,7 @@
     assertEquals(0, allowed());
   }
 
-  /** A stream of anything is no message, or one without effect. */
+  /** Corrupt datagrams either fail to decode or have no effect on the limit. */
   @Test
   void corruptDatagramsAreTolerated() {
     startBoth();
@@ -474,7 +485,7 @@
     assertEquals(LimitPartition.COUNT - 1, nodes.get(HOLDER).partitionsHeld());
   }
 
-  /** The calls that many nodes make when nobody holds a partition. */
+  /** Bounds the calls to the store that many nodes make when no node holds a partition. */
   @Test
   void nodesThatRequestTheSamePartitionWriteInSequence() {
     List<PeerAddress> all = new ArrayList<>();
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestTokenBucket.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestTokenBucket.java
@@ -78,19 +78,21 @@
   void tenantAboveItsLimitStartsProgramsOnlyIfRunningOnesGetTokens() {
     Tenant tenant = TestingTenancy.tenant("t", 20, 20);
     PartitionBuckets buckets = new PartitionBuckets(0, Double.MAX_VALUE, false);
-    int opened = 0;
+    int firstTurns = 0;
     int continued = 0;
     for (long now = 0; now < 5 * SECOND; now += 10_000_000) {
-      opened += buckets.decide(tenant, RequestKind.FIRST_TURN, 0, 1, now).tokens();
+      firstTurns += buckets.decide(tenant, RequestKind.FIRST_TURN, 0, 1, now).tokens();
       TokenDecision decision = buckets.decide(tenant, RequestKind.CONTINUING, 0, 1, now);
       boolean inTime = now + decision.retryMillis() * 1_000_000 < 5 * SECOND;
       continued += inTime ? decision.tokens() : 0;
     }
-    assertTrue(opened + continued <= 120, opened + " " + continued);
-    assertTrue(continued > 4 * opened, opened + " " + continued);
+    assertTrue(firstTurns + continued <= 120, firstTurns + " " + continued);
+    assertTrue(continued > 4 * firstTurns, firstTurns + " " + continued);
   }
 
-  /** A program that moved to another node, which takes it for a new one. */
+  /**
+   * Reproduces a program that moved to another node, which takes the next turn for the first one.
+   */
   @Test
   void startedProgramContinuesOnAnotherNode() {
     Tenant tenant = TestingTenancy.tenant("t", 20, 20);
@@ -127,7 +129,7 @@
     assertEquals(0, given.retryMillis());
   }
 
-  /** A program that has not begun has nothing to lose by coming back. */
+  /** A refused first turn loses nothing by a retry, so it does not wait for a lent token. */
   @Test
   void firstTurnDoesNotWaitForALentToken() {
     Tenant tenant = TestingTenancy.tenant("t", 10, 1);
