--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/BudgetRow.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/BudgetRow.java
@@ -3,10 +3,11 @@
 import java.nio.ByteBuffer;
 
 /**
- * What the store keeps of a program's budget.
+ * The stored row of a program's budget.
  *
- * @param grantedTokens tokens granted to all processes together; never falls
- * @param grantId identifies the last grant, so that its maker recognises it after a lost answer
+ * @param grantedTokens the tokens granted to all processes together; never decreases
+ * @param grantId identifies the last grant, so that its originator recognizes it after a lost
+ *     response
  */
 record BudgetRow(long grantedTokens, long grantId) {
   static final BudgetRow NONE = new BudgetRow(0, 0);
@@ -18,11 +19,11 @@
     return ByteBuffer.allocate(LENGTH).put(FORMAT).putLong(grantedTokens).putLong(grantId).array();
   }
 
-  /** Reads a row; what a later build may have added behind it is passed over. */
+  /** Decodes a row; bytes that a later version may have appended are ignored. */
   static BudgetRow decode(byte[] value) {
     ByteBuffer buffer = ByteBuffer.wrap(value);
     if (value.length < LENGTH || buffer.get() != FORMAT) {
-      throw new IllegalArgumentException("not a budget row: " + value.length + " bytes");
+      throw new IllegalArgumentException("invalid budget row of " + value.length + " bytes");
     }
     return new BudgetRow(buffer.getLong(), buffer.getLong());
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/GrantIds.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/GrantIds.java
@@ -1,13 +1,13 @@
 package org.baykeel.gateway.budget;
 
-/** Identifiers of grants: a random origin for each process and a counter. */
+/** Generates identifiers of grants from a random origin of the process and a counter. */
 public final class GrantIds {
   private long next;
 
   /**
-   * Creates a source of identifiers.
+   * Creates a generator.
    *
-   * @param origin a random number, different in each life of each process
+   * @param origin a random number, different in each incarnation of each process
    */
   public GrantIds(long origin) {
     this.next = origin;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/GrantSource.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/GrantSource.java
@@ -4,10 +4,13 @@
 import java.util.function.Consumer;
 import org.baykeel.gateway.program.ProgramId;
 
-/** Where a process that takes over a program gets what another one has left of its grant. */
+/**
+ * Transfers the remaining tokens of a program's grant from the process that holds them to a process
+ * that takes the program over.
+ */
 public interface GrantSource {
 
-  /** A source of a process that has no others. */
+  /** A source for a process without peers. */
   GrantSource NONE =
       new GrantSource() {
         @Override
@@ -20,12 +23,15 @@
       };
 
   /**
-   * Asks for what another process has left of a program's grant.
+   * Requests the tokens that another process has remaining of a program's grant.
    *
-   * @param answer takes the tokens, exactly once; nothing if no process gives any in time
+   * @param answer receives the tokens exactly once; empty if no process transfers any in time
    */
   void request(ProgramId program, Consumer<Optional<GrantTransfer>> answer);
 
-  /** This process was the last to be granted tokens of a program; others may ask it for them. */
+  /**
+   * Announces that this process was the last to be granted tokens of a program, so that other
+   * processes may request them from it.
+   */
   void announceHolder(ProgramId program);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/GrantTransfer.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/GrantTransfer.java
@@ -1,11 +1,12 @@
 package org.baykeel.gateway.budget;
 
 /**
- * Granted tokens that one process gives up to another, and what it knows of the program's row.
+ * Granted tokens that one process transfers to another, with the program's row as the sender last
+ * received it.
  *
- * @param tokens tokens that the giver will not hand out any more
- * @param grantedTokens the row's granted tokens
- * @param grantId the row's last grant
- * @param rowVersion the row's version
+ * @param tokens the tokens that the sender will not use any more
+ * @param grantedTokens the granted tokens of the row
+ * @param grantId the last grant of the row
+ * @param rowVersion the version of the row
  */
 public record GrantTransfer(long tokens, long grantedTokens, long grantId, long rowVersion) {}
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ProgramAccount.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ProgramAccount.java
@@ -12,21 +12,24 @@
 import org.baykeel.gateway.storage.TransactionOutcome;
 
 /**
- * One program's tokens at this process.
+ * The tokens of one program at this process.
  *
- * <p>Invariant: the row's granted tokens are at least the tokens that all processes may still hand
- * out or have handed out. A grant is made only while less than the budget is granted, so no more
- * than one turn's most is handed out beyond it.
+ * <p>Invariant: the row's granted tokens are at least the tokens that all processes have used or
+ * may still use. A grant is made only while less than the budget is granted, so usage exceeds the
+ * budget by at most the largest number of tokens of one turn.
  */
 final class ProgramAccount {
   /**
-   * The part of the budget that is granted at once while the budget is far away: it spares calls to
-   * the store, and turns go on while the store is away. It is also what a program loses of its
-   * budget when the process that holds its tokens dies, so it may not be much larger.
+   * The fraction of the budget that is granted at once while the budget is far from exhausted. It
+   * saves calls to the store, and turns can continue during a store outage. A program also loses
+   * this fraction of its budget when the process that holds its tokens dies, so it may not be much
+   * larger.
    */
   private static final double AHEAD_FRACTION = 1.0 / 3;
 
-  /** Grants ahead are made only below this part of the budget, so two of them at the most. */
+  /**
+   * Grants ahead of need are made only below this fraction of the budget, so there are at most two.
+   */
   private static final double MAX_AHEAD_FRACTION = 0.7;
 
   private static final long RETRY_MILLIS = 40;
@@ -45,10 +48,10 @@
   private boolean rowKnown;
   private boolean startedHere;
 
-  /** Whether this process was the last to be granted tokens, as far as it knows. */
+  /** Whether this process was the last to be granted tokens, as far as it can determine. */
   private boolean holder;
 
-  /** Whether others were asked since this process last gave its tokens up. */
+  /** Whether other processes were queried since this process last released its tokens. */
   private boolean othersQueried;
 
   private boolean requestPending;
@@ -91,7 +94,10 @@
     return reservation;
   }
 
-  /** Whether a turn is known to go beyond the budget without asking anybody. */
+  /**
+   * Returns whether a turn is known to exceed the budget, without a query to the store or to a
+   * peer.
+   */
   boolean exhausted(long budget, int tokens) {
     budgetTokens = budget;
     return waiting.isEmpty() && knownExhausted(tokens);
@@ -101,7 +107,7 @@
     return rowKnown;
   }
 
-  /** Whether this process made the program's first grant of all. */
+  /** Returns whether this process made the program's first grant of all. */
   boolean startedHere() {
     return startedHere;
   }
@@ -193,8 +199,8 @@
   }
 
   /**
-   * Gives up the tokens that no turn here has reserved or waits for. They are taken off before they
-   * are told to anybody: if the answer is lost, they count as spent.
+   * Releases the tokens that no turn of this process has reserved or waits for. They are deducted
+   * before they are sent, so they count as spent if the response is lost.
    */
   Optional<GrantTransfer> release() {
     if (!rowKnown) {
@@ -249,7 +255,8 @@
   }
 
   /**
-   * The row is what this process asked for: another copy of the call, or an earlier one, was done.
+   * Returns whether the row is the one that this process wrote: an earlier or duplicated copy of
+   * the call was applied.
    */
   private static boolean ownGrant(BudgetRow requested, BudgetRow current) {
     return requested != null && requested.grantId() == current.grantId();
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ProgramBudgets.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ProgramBudgets.java
@@ -24,9 +24,9 @@
   private final Map<String, ProgramAccount> accounts = new HashMap<>();
 
   /**
-   * Creates accounts.
+   * Creates an empty set of accounts.
    *
-   * @param source gets what other processes have left of a program's grant
+   * @param source transfers tokens that other processes have remaining of a program's grant
    */
   public ProgramBudgets(
       DurableStore store, EventLoop eventLoop, GrantIds grantIds, GrantSource source) {
@@ -37,10 +37,11 @@
   }
 
   /**
-   * Reserves the most tokens that a turn may generate. The decision may be known at once; if it is
-   * pending, {@code onDecided} runs later.
+   * Reserves the most tokens that a turn may generate. The decision may be available at once; if it
+   * is pending, {@code onDecided} runs later.
    *
-   * @param giveUpNanos when a turn that still waits is told that the store is unavailable
+   * @param giveUpNanos the time at which a turn that still waits fails as {@link
+   *     ReservationStatus#UNAVAILABLE}
    */
   public Reservation reserve(
       String program, long budgetTokens, int turnTokens, long giveUpNanos, Runnable onDecided) {
@@ -48,35 +49,35 @@
   }
 
   /**
-   * Whether a turn would be refused at once because its program's budget is spent.
+   * Returns whether a turn would be refused at once because its program's budget is exhausted.
    *
-   * @param turnTokens the most that the turn may generate
+   * @param turnTokens the most tokens that the turn may generate
    */
   public boolean exhausted(String program, long budgetTokens, int turnTokens) {
     ProgramAccount account = accounts.get(program);
     return account != null && account.exhausted(budgetTokens, turnTokens);
   }
 
-  /** Whether this process has learnt of the program from the store. */
+  /** Returns whether this process has received the program's row, from the store or from a peer. */
   public boolean isKnown(String program) {
     ProgramAccount account = accounts.get(program);
     return account != null && account.isKnown();
   }
 
-  /** What the store says of a program. */
+  /** Whether a program has started, according to the store. */
   public enum Started {
-    /** Some process was granted tokens of it. */
+    /** A process was granted tokens of the program. */
     YES,
-    /** Nobody was. */
+    /** No process was granted tokens of the program. */
     NO,
-    /** The store did not answer. */
+    /** The store did not respond. */
     UNKNOWN
   }
 
   /**
-   * Reads whether a program has begun anywhere, without granting it anything.
+   * Reads whether a program has started on any node, without granting it tokens.
    *
-   * @param answer takes what the store says, exactly once
+   * @param answer receives the result exactly once
    */
   public void findStarted(String program, Consumer<Started> answer) {
     store.read(
@@ -90,12 +91,18 @@
         });
   }
 
-  /** Gives up what this process has left of a program's grant, for another to use. */
+  /**
+   * Releases the tokens that this process has remaining of a program's grant, for use by another
+   * process.
+   */
   public Optional<GrantTransfer> release(ProgramId program) {
     return Optional.ofNullable(accounts.get(program.value())).flatMap(ProgramAccount::release);
   }
 
-  /** Forgets programs that have not been heard of for a while. Their rows stay in the store. */
+  /**
+   * Removes the accounts of programs that have had no reservation for {@code IDLE_EVICTION_NANOS}.
+   * Their rows remain in the store.
+   */
   public void evictIdle() {
     long since = eventLoop.nanoTime() - IDLE_EVICTION_NANOS;
     accounts.values().removeIf(account -> account.idleSince(since));
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/Reservation.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/Reservation.java
@@ -1,6 +1,6 @@
 package org.baykeel.gateway.budget;
 
-/** The tokens that one turn may hand out. Used only from the event loop. */
+/** The tokens that one turn may generate. Used only on the event loop. */
 public final class Reservation {
   private final ProgramAccount account;
   private final int tokens;
@@ -30,7 +30,7 @@
     return closed;
   }
 
-  /** The decision, or {@link ReservationStatus#PENDING}. */
+  /** Returns the decision, or {@link ReservationStatus#PENDING}. */
   public ReservationStatus status() {
     return status;
   }
@@ -42,7 +42,10 @@
     }
   }
 
-  /** While quiet, a decision is only kept: whoever reserves is about to look at it. */
+  /**
+   * Sets whether a decision is only stored, without a callback, because the method that makes the
+   * reservation returns it.
+   */
   void suppressCallback(boolean suppress) {
     suppressCallback = suppress;
   }
@@ -51,17 +54,17 @@
     status = decision;
   }
 
-  /** Whether the program was unknown to the store before this process's first grant. */
+  /** Returns whether the store had no row of the program before this process's first grant. */
   public boolean programStartedHere() {
     return account.startedHere();
   }
 
-  /** Notes tokens that were handed to the caller. */
+  /** Records tokens that were sent to the caller. */
   public void use(int sentTokens) {
     usedTokens += sentTokens;
   }
 
-  /** The turn is over; what it did not use goes to the program's next turns. */
+  /** Ends the turn. Its unused tokens are available to the program's next turns. */
   public void close() {
     if (closed) {
       return;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ReservationStatus.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ReservationStatus.java
@@ -1,13 +1,13 @@
 package org.baykeel.gateway.budget;
 
-/** Whether a turn may hand out tokens. */
+/** The state of the reservation of a turn's tokens. */
 public enum ReservationStatus {
-  /** The store's answer is awaited. */
+  /** The store has not responded yet. */
   PENDING,
   /** The tokens are reserved for the turn. */
   GRANTED,
-  /** The program's budget is spent. */
+  /** The program's budget is exhausted. */
   EXHAUSTED,
-  /** The store could not be asked in time. */
+  /** The store could not be reached in time. */
   UNAVAILABLE
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/budget/TestProgramBudgets.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/budget/TestProgramBudgets.java
@@ -102,7 +102,7 @@
     assertEquals(TURN, grantedInStore());
   }
 
-  /** A store whose calls are each made twice; the answer is that of the second copy. */
+  /** A store to which each call is sent twice; the response is that to the second copy. */
   private static final class DoublingStore extends ForwardingStore {
     DoublingStore(DurableStore store) {
       super(store);
@@ -205,7 +205,10 @@
     assertEquals(ReservationStatus.PENDING, reserve(first, budget).status());
   }
 
-  /** Each holder that dies takes a part of the budget with it: two leave the program something. */
+  /**
+   * A part of the budget is lost with each holder that dies; after two of them the program must
+   * have some left.
+   */
   @Test
   void twoHoldersThatDieLeaveAThirdOfTheBudget() {
     for (int holder = 0; holder < 2; holder++) {
@@ -228,7 +231,7 @@
     for (int seed = 0; seed < 300; seed++) {
       long budget = 3_000;
       long totalUsed = tokensUsedUnderFaults(seed, budget);
-      assertTrue(totalUsed <= budget + TURN, "seed " + seed + " handed out " + totalUsed);
+      assertTrue(totalUsed <= budget + TURN, "seed " + seed + " used " + totalUsed);
     }
   }
 
@@ -255,7 +258,7 @@
       faulty.fault(Fault.values()[random.nextInt(Fault.values().length)]);
       int node = random.nextInt(nodes.size());
       if (random.nextInt(10) == 0) {
-        // A process that lost power forgets its accounts; its grants stay in the store.
+        // A process that lost power has lost its accounts; its grants remain in the store.
         nodes.set(node, node(faulty, loop, handover, step * 7_000_000L + 5));
       }
       long giveUp = loop.nanoTime() + 2_000_000_000L;
