--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/configuration/GatewayConfiguration.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/configuration/GatewayConfiguration.java
@@ -17,9 +17,9 @@
   private final boolean boundToRegions;
 
   /**
-   * Creates a configuration.
+   * Creates a configuration without tenants.
    *
-   * @param version rises with every change
+   * @param version increases with every change
    */
   public GatewayConfiguration(
       long version, List<Route> routes, List<ServiceProfile> services, RequestLimits limits) {
@@ -29,8 +29,8 @@
   /**
    * Creates a configuration with tenants.
    *
-   * @param version rises with every change
-   * @param tenants who may call; where there are none, callers need no key
+   * @param version increases with every change
+   * @param tenants the tenants that may send requests; if there are none, callers need no key
    */
   public GatewayConfiguration(
       long version,
@@ -62,36 +62,36 @@
     return byHost;
   }
 
-  /** The version, which rises with every change. */
+  /** Returns the version, which increases with every change. */
   public long version() {
     return version;
   }
 
-  /** How many routes there are. */
+  /** Returns the number of routes. */
   public int routeCount() {
     return routeCount;
   }
 
-  /** Whether any route or tenant is bound to regions. */
+  /** Returns whether any route or tenant is bound to regions. */
   public boolean boundToRegions() {
     return boundToRegions;
   }
 
-  /** Who may call. */
+  /** Returns the tenants that may send requests. */
   public TenantDirectory tenants() {
     return tenants;
   }
 
-  /** Bounds on what a caller may send. */
+  /** Returns the limits on the requests of callers. */
   public RequestLimits limits() {
     return limits;
   }
 
   /**
-   * The route with the longest prefix of the path among those of the host.
+   * Finds the route of the host with the longest prefix of the path.
    *
    * @param host the authority as the caller sent it, with or without a port
-   * @return the route, or null if none applies
+   * @return the route, or null if none matches
    */
   public Route findRoute(String host, String path) {
     List<Route> ofHost = routesByHost.get(hostName(host));
@@ -106,7 +106,7 @@
     return null;
   }
 
-  /** The profile of a service, or null if the configuration has none of that name. */
+  /** Returns the profile of a service, or null if the configuration has no service of that name. */
   public ServiceProfile service(String name) {
     return services.get(name);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/configuration/Route.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/configuration/Route.java
@@ -4,24 +4,25 @@
 import org.baykeel.gateway.residency.Residency;
 
 /**
- * One rule that sends requests of a host and path prefix to services.
+ * A rule that sends the requests of a host and path prefix to services.
  *
  * @param name the operator's name of the route
- * @param host the host it applies to, in lower case
+ * @param host the host that it applies to, in lower case
  * @param pathPrefix the prefix of the path, beginning and ending with a slash
  * @param kind how often a request may run
- * @param timeoutMillis the longest time that a request may be held
- * @param targetLatencyMillis the time within which an answer has its full value
- * @param gapTargetMillis the longest pause between events for which a stream is in time
- * @param priority the rank among routes; 0 is the most urgent
+ * @param timeoutMillis the longest time that a request may take, in milliseconds
+ * @param targetLatencyMillis the time within which a response has its full value, in milliseconds
+ * @param gapTargetMillis the longest time between two events of a stream that is on time, in
+ *     milliseconds
+ * @param priority the priority among routes; 0 is the most urgent
  * @param backends the services that share the requests; never empty
  * @param attempts the largest number of engines to which one request may be sent
- * @param retained whether turns are kept and continued by reference
- * @param retentionMillis how long a kept turn must stay readable
- * @param sessionAffinity whether an engine works faster on what it has seen before
- * @param resumable whether a broken stream may be continued at another engine
- * @param anonymous whether callers need no key even where the configuration names tenants
- * @param residency where its requests may run, be cached and be kept
+ * @param retained whether turns are stored, so that a caller can continue them by reference
+ * @param retentionMillis how long a stored turn must remain readable, in milliseconds
+ * @param sessionAffinity whether an engine works faster on input that it has processed before
+ * @param resumable whether a broken stream may be continued on another engine
+ * @param anonymous whether callers need no key even if the configuration names tenants
+ * @param residency the regions in which its requests may run, be cached and be stored
  */
 public record Route(
     String name,
@@ -54,9 +55,10 @@
   }
 
   /**
-   * The longest silence of an engine after which a request that may be repeated tries another one.
+   * Returns the time without output from an engine after which a repeatable request is sent to
+   * another one, in milliseconds.
    *
-   * @param streamStarted whether the first event of a stream is there
+   * @param streamStarted whether the first event of a stream has arrived
    */
   public long silenceTimeoutMillis(boolean streamStarted) {
     if (kind == RouteKind.SAFE) {
@@ -68,7 +70,7 @@
         : targetLatencyMillis * STREAM_START_TIMEOUT_TARGETS;
   }
 
-  /** Whether a request may be sent to another engine after an unknown outcome. */
+  /** Returns whether a request may be sent to another engine after an unknown outcome. */
   public boolean repeatable() {
     return kind == RouteKind.SAFE || kind == RouteKind.STREAMING && resumable;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/configuration/RouteKind.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/configuration/RouteKind.java
@@ -2,10 +2,13 @@
 
 /** How often a request of a route may run. */
 public enum RouteKind {
-  /** May run any number of times. */
+  /** A request may run any number of times. */
   SAFE,
-  /** May run at most once for each request identifier. */
+  /** A request may run at most once for each request identifier. */
   UNSAFE,
-  /** Answers with a series of events; at most once, unless the route is resumable. */
+  /**
+   * The response is a stream of events. A request may run at most once, unless the route is
+   * resumable.
+   */
   STREAMING
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/configuration/ServiceProfile.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/configuration/ServiceProfile.java
@@ -1,13 +1,17 @@
 package org.baykeel.gateway.configuration;
 
 /**
- * What the operator states about a service.
+ * The operator's settings of a service.
  *
  * @param name the name that routes and engines refer to
- * @param maxConnections connections that one of its engines accepts from all callers together
- * @param tokensPerEvent tokens generated for each event of a stream; 0 where none are counted
- * @param coldStartMillis how long one of its engines stays cold after a start; 0 if it never is
- * @param coldRequestsPerSecond requests that a cold engine bears in a second, of all nodes together
+ * @param maxConnections the connections that one of its engines accepts from all its clients
+ *     together
+ * @param tokensPerEvent the tokens generated for each event of a stream; 0 if tokens are not
+ *     counted
+ * @param coldStartMillis how long one of its engines stays cold after a start, in milliseconds; 0
+ *     if it is never cold
+ * @param coldRequestsPerSecond the requests per second that a cold engine can handle from all nodes
+ *     together
  */
 public record ServiceProfile(
     String name,
@@ -16,7 +20,7 @@
     long coldStartMillis,
     double coldRequestsPerSecond) {
 
-  /** A service whose engines are never cold. */
+  /** Creates the profile of a service whose engines are never cold. */
   public ServiceProfile(String name, int maxConnections, int tokensPerEvent) {
     this(name, maxConnections, tokensPerEvent, 0, 0);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/ApiKey.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/ApiKey.java
@@ -4,8 +4,8 @@
 import java.security.MessageDigest;
 
 /**
- * The secret by which a caller names its tenant. Its text is never printed: {@link #toString} gives
- * a short digest, the same at every node, by which lines of a log can be matched.
+ * The secret by which a caller identifies its tenant. Its text is never printed: {@link #toString}
+ * returns a short digest, the same on every node, by which log lines can be correlated.
  */
 public final class ApiKey {
   private static final int OFFSET_BASIS = 0x811C9DC5;
@@ -28,7 +28,7 @@
     this.digest = hash ^ hash >>> 15;
   }
 
-  /** Compares all bytes of keys of the same length, wherever they differ. */
+  /** Compares all bytes of keys of equal length, wherever the first difference is. */
   @Override
   public boolean equals(Object other) {
     return other instanceof ApiKey key && MessageDigest.isEqual(secret, key.secret);
@@ -39,7 +39,7 @@
     return digest;
   }
 
-  /** The digest in hexadecimal; it does not reveal the key. */
+  /** Returns the digest in hexadecimal, which does not reveal the key. */
   @Override
   public String toString() {
     return Integer.toHexString(digest);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/ConfigurationFreshness.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/ConfigurationFreshness.java
@@ -7,25 +7,25 @@
 import org.baykeel.gateway.runtime.EventLoop;
 
 /**
- * Up to which moment the configuration in force is known to have been the newest one.
+ * The latest time at which the active configuration is known to have been the newest one.
  *
- * <p>Invariant: the operator had no newer configuration acknowledged before that moment than the
- * one that this process has adopted by now. It only ever rises, whatever becomes of the process or
- * its path to the store; so a request that arrives within a bound after it was sent within that
- * bound after every change that this process does not know.
+ * <p>Invariant: before that time no newer configuration was acknowledged to the operator than the
+ * one that this process has adopted by now. The time never decreases, whatever happens to the
+ * process or to its connection to the store. So a request that arrives within a limit after that
+ * time was sent at most that limit after any change that this process has not received.
  */
 public final class ConfigurationFreshness {
   private final EventLoop eventLoop;
   private final List<Waiter> waiters = new ArrayList<>();
   private Runnable check = () -> {};
-  private boolean recordProof;
+  private boolean proven;
   private long provenNanos;
 
-  /** Somebody who needs the configuration to be proven as of some moment. */
+  /** A callback that waits until the configuration is proven as of some time. */
   private record Waiter(long sinceNanos, Consumer<Boolean> answer, EventLoop.Timer timeout) {}
 
   /**
-   * Creates a freshness of which nothing is known.
+   * Creates an instance without a proof.
    *
    * @param eventLoop the clock
    */
@@ -34,29 +34,29 @@
   }
 
   /**
-   * Sets how the configuration is compared with the store's without waiting for changes.
+   * Sets how the configuration is compared with the store's at once, without waiting for changes.
    *
-   * @param newCheck begins a comparison; its result is told by {@link #proven}
+   * @param newCheck starts a comparison, whose result is passed to {@link #recordProof}
    */
   public void setCheck(Runnable newCheck) {
     this.check = newCheck;
   }
 
-  /** Has the configuration compared with the store's now. */
+  /** Starts a comparison of the configuration with the store's. */
   public void check() {
     check.run();
   }
 
   /**
-   * Notes a proof.
+   * Records a proof.
    *
-   * @param nanos no newer configuration had been acknowledged before this moment
+   * @param nanos the time before which no newer configuration had been acknowledged
    */
   public void recordProof(long nanos) {
-    if (recordProof && nanos - provenNanos <= 0) {
+    if (proven && nanos - provenNanos <= 0) {
       return;
     }
-    recordProof = true;
+    proven = true;
     provenNanos = nanos;
     List<Waiter> satisfied = new ArrayList<>();
     for (Iterator<Waiter> each = waiters.iterator(); each.hasNext(); ) {
@@ -75,32 +75,32 @@
     }
   }
 
-  /** Nanoseconds since the proven moment; {@link Long#MAX_VALUE} if nothing is proven. */
+  /** Returns the nanoseconds since the proven time; {@link Long#MAX_VALUE} without a proof. */
   public long ageNanos() {
-    return recordProof ? eventLoop.nanoTime() - provenNanos : Long.MAX_VALUE;
+    return proven ? eventLoop.nanoTime() - provenNanos : Long.MAX_VALUE;
   }
 
   /**
-   * How long before a moment the configuration was proven last.
+   * Returns the age of the proof at a given time.
    *
-   * @param nanos the moment
-   * @return nanoseconds; negative if it is proven as of a later moment, {@link Long#MAX_VALUE} if
-   *     nothing is proven
+   * @param nanos the time
+   * @return the age in nanoseconds; negative if the configuration is proven as of a later time,
+   *     {@link Long#MAX_VALUE} without a proof
    */
   public long ageNanosAt(long nanos) {
-    return recordProof ? nanos - provenNanos : Long.MAX_VALUE;
+    return proven ? nanos - provenNanos : Long.MAX_VALUE;
   }
 
   private boolean provenSince(long nanos) {
-    return recordProof && provenNanos - nanos >= 0;
+    return proven && provenNanos - nanos >= 0;
   }
 
   /**
-   * Waits until the configuration is proven as of a moment.
+   * Waits until the configuration is proven as of a given time.
    *
-   * @param sinceNanos the moment
-   * @param timeoutMillis the longest wait
-   * @param answer takes whether it is proven, exactly once
+   * @param sinceNanos the time
+   * @param timeoutMillis the longest wait in milliseconds
+   * @param answer receives exactly once whether it is proven
    */
   public void await(long sinceNanos, long timeoutMillis, Consumer<Boolean> answer) {
     if (provenSince(sinceNanos)) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/KeyAuthenticator.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/KeyAuthenticator.java
@@ -7,18 +7,21 @@
 import java.util.function.Supplier;
 
 /**
- * Finds the tenant of a key, as far as the configuration is recent enough to say so.
+ * Finds the tenant of a key, provided that the configuration is recent enough for a decision.
  *
  * <p>Invariant: a key is accepted only if the configuration was proven to be the newest one at most
- * {@link Bounds#acceptMillis} before the request arrived, judged by a clock that runs on while the
- * process stands still. A key is ruled out only by a configuration proven as of the request's
- * arrival, or by one proven shortly before if the key was ruled out earlier.
+ * {@link Bounds#acceptMillis} before the request arrived, measured by a clock that continues while
+ * the process is paused. A key is rejected only by a configuration that is proven as of the
+ * request's arrival, or by one proven shortly before if the key was rejected earlier.
  */
 public final class KeyAuthenticator {
-  /** How long a request waits for the store's word on a key that nobody knows here. */
+  /**
+   * How long a request whose key is not in this node's configuration waits for a check with the
+   * store.
+   */
   private static final long CHECK_MILLIS = 200;
 
-  /** Keys that were ruled out and are remembered; all are forgotten beyond this. */
+  /** The most rejected keys that are remembered; when the limit is reached, all are removed. */
   private static final int MAX_REJECTED = 2_048;
 
   private final Supplier<TenantDirectory> directory;
@@ -28,32 +31,43 @@
   private TenantDirectory lastDirectory = TenantDirectory.NONE;
 
   /**
-   * How old the proof of the configuration may be.
+   * The maximum age of the configuration's proof.
    *
-   * @param acceptMillis before the arrival of a request whose key is accepted
-   * @param rejectMillis before the arrival of a request whose key was ruled out earlier
+   * @param acceptMillis the age in milliseconds, at the arrival of a request, up to which its key
+   *     can be accepted
+   * @param rejectMillis the age in milliseconds, at the arrival of a request, up to which a key
+   *     that was rejected earlier is rejected again without a check
    */
   public record Bounds(long acceptMillis, long rejectMillis) {
     /**
-     * For how long the store's feed may be silent about changes before it says that it has
-     * forgotten its history.
+     * How long the store's feed may fail to report changes before it reports that its history is
+     * lost.
      */
     private static final long FEED_SILENCE_MILLIS = 1_000;
 
-    /** For clocks that are read in whole milliseconds and work between the reading and the use. */
+    /**
+     * A margin for clocks that are read in whole milliseconds, and for the processing between the
+     * reading and its use.
+     */
     private static final long MARGIN_MILLIS = 100;
 
-    /** What is left of a bound that is hardly longer than the feed's silence. */
+    /**
+     * The smallest accepted age relative to the revocation time. It applies if the revocation time
+     * is hardly longer than the silence of the feed.
+     */
     private static final double MIN_FRACTION_OF_REVOCATION = 0.25;
 
-    /** The part of the time within which a new key must work everywhere. */
+    /**
+     * The age up to which a rejection is repeated without a check, as a fraction of the time within
+     * which a new key must work on all nodes.
+     */
     private static final double APPLY_FRACTION = 0.5;
 
     /**
-     * Derives the bounds from the operator's.
+     * Derives the bounds from the operator's settings.
      *
-     * @param revocationMillis time after which a key that was taken away must not work anywhere
-     * @param applyMillis time after which a new configuration must be in force
+     * @param revocationMillis the time after which a removed key must not work on any node
+     * @param applyMillis the time after which a new configuration must be active
      */
     public static Bounds of(long revocationMillis, long applyMillis) {
       long acceptMillis = revocationMillis - FEED_SILENCE_MILLIS - MARGIN_MILLIS;
@@ -63,18 +77,18 @@
     }
   }
 
-  /** What is known of a key. */
+  /** The decision on a key. */
   public sealed interface KeyDecision {
-    /** It is a tenant's. */
+    /** The key belongs to a tenant. */
     record Accepted(Tenant tenant) implements KeyDecision {}
 
-    /** No tenant holds it. */
+    /** The key belongs to no tenant, or the request carries no key. */
     record Rejected() implements KeyDecision {}
 
     /**
-     * The configuration may be too old to tell.
+     * The configuration may be too old for a decision.
      *
-     * @param ageMillis how long before the request it was proven last; negative if never
+     * @param ageMillis the age of its proof at the arrival of the request; negative without a proof
      */
     record Undecided(long ageMillis) implements KeyDecision {}
   }
@@ -82,9 +96,9 @@
   /**
    * Creates an authenticator.
    *
-   * @param directory the tenants of the configuration in force
-   * @param freshness up to when that configuration is known to be the newest
-   * @param bounds how old that proof may be
+   * @param directory supplies the tenants of the active configuration
+   * @param freshness the time up to which that configuration is known to be the newest
+   * @param bounds the maximum age of that proof
    */
   public KeyAuthenticator(
       Supplier<TenantDirectory> directory, ConfigurationFreshness freshness, Bounds bounds) {
@@ -93,17 +107,17 @@
     this.bounds = bounds;
   }
 
-  /** Whether keys can be accepted now. */
+  /** Returns whether keys can be accepted now. */
   public boolean canAcceptKeys() {
     return toMillis(freshness.ageNanos()) <= bounds.acceptMillis();
   }
 
   /**
-   * Judges a key.
+   * Decides on a key.
    *
-   * @param key the key that a request carries; null if it carries none
-   * @param receivedNanos when the request arrived
-   * @param answer takes the verdict, exactly once, possibly before this returns
+   * @param key the key of a request; null if it carries none
+   * @param receivedNanos the arrival time of the request
+   * @param answer receives the decision exactly once, possibly before this method returns
    */
   public void authenticate(ApiKey key, long receivedNanos, Consumer<KeyDecision> answer) {
     long ageMillis = toMillis(freshness.ageNanosAt(receivedNanos));
@@ -144,7 +158,7 @@
     return Objects.requireNonNullElseGet(known, KeyDecision.Rejected::new);
   }
 
-  /** Keys that a newer configuration no longer holds need no question to the store. */
+  /** Rejects keys that a newer configuration has removed; they need no check with the store. */
   private void rejectRemovedKeys() {
     TenantDirectory current = directory.get();
     if (current == lastDirectory) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/LimitUse.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/LimitUse.java
@@ -1,26 +1,29 @@
 package org.baykeel.gateway.tenancy;
 
 /**
- * What a tenant asked for lately at all nodes together, refused requests included.
+ * A tenant's demand of about the last second over all nodes together, refused requests included.
  *
- * @param multiple in multiples of its limit's rate; chance alone brings it above 1 rarely
+ * @param multiple the demand in multiples of the limit's rate; chance variation rarely raises it
+ *     above 1
  */
 public record LimitUse(double multiple) {
-  /** Where there is no limit or nothing is known of its use: as if all of it were used. */
+  /**
+   * Used without a limit or where the demand is unknown; equivalent to a demand equal to the limit.
+   */
   public static final LimitUse UNKNOWN = new LimitUse(1);
 
   public LimitUse {
     if (!(multiple >= 0) || Double.isInfinite(multiple)) {
-      throw new IllegalArgumentException("a use of " + multiple);
+      throw new IllegalArgumentException("invalid limit use: " + multiple);
     }
   }
 
-  /** What another node told, which may be anything; unknown if it is no use. */
+  /** Returns a demand that a peer sent, or {@link #UNKNOWN} if the value is invalid. */
   public static LimitUse ofPeer(double multiple) {
     return multiple >= 0 && !Double.isInfinite(multiple) ? new LimitUse(multiple) : UNKNOWN;
   }
 
-  /** Whether the tenant asked for no more than its limit. */
+  /** Returns whether the tenant's demand was within its limit. */
   public boolean withinLimit() {
     return multiple <= 1;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/ProofExchange.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/ProofExchange.java
@@ -7,11 +7,11 @@
 import org.baykeel.gateway.storage.StoreClock;
 
 /**
- * Lets nodes share what proves their configuration. A node's own question to the store proves it
- * only every second or so; what the others know is mostly newer.
+ * Shares proofs of the configuration between nodes. A node's own check with the store renews its
+ * proof only about once a second, so the proofs of other nodes are usually newer.
  *
- * <p>Invariant: what a node tells is a proof that it has itself, by the store's clock rounded down,
- * so no proof becomes younger on its way through any number of nodes.
+ * <p>Invariant: a node sends only a proof that it has itself, with the store's time rounded down,
+ * so a proof never becomes newer by being passed on through any number of nodes.
  */
 public final class ProofExchange {
   private final Supplier<OptionalLong> version;
@@ -22,7 +22,7 @@
   /**
    * Creates an exchange.
    *
-   * @param version of the configuration in force; nothing while there is none
+   * @param version supplies the version of the active configuration; empty while there is none
    */
   public ProofExchange(
       Supplier<OptionalLong> version,
@@ -35,7 +35,7 @@
     this.eventLoop = eventLoop;
   }
 
-  /** What this node can tell others; nothing while it has no proof. */
+  /** Returns the proof that this node can send to others; empty while it has none. */
   public Optional<ConfigurationProof> own() {
     OptionalLong inForce = version.get();
     if (inForce.isEmpty() || !clock.known() || freshness.ageNanos() == Long.MAX_VALUE) {
@@ -46,7 +46,7 @@
         new ConfigurationProof(inForce.getAsLong(), clock.earliestStoreMillis(provenNanos)));
   }
 
-  /** Takes what another node tells in answer to a question of this one. */
+  /** Processes a proof that a peer sent in its reply to a query of this node. */
   public void onProof(ConfigurationProof proof) {
     OptionalLong inForce = version.get();
     if (inForce.isEmpty() || !clock.known() || proof.version() < inForce.getAsLong()) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/RateLimit.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/RateLimit.java
@@ -1,10 +1,10 @@
 package org.baykeel.gateway.tenancy;
 
 /**
- * How many requests a tenant may run at all nodes together.
+ * A tenant's limit on requests over all nodes together.
  *
  * @param requestsPerSecond the sustained rate; 0 if the tenant has no limit
- * @param burst requests that may run at once beyond the rate
+ * @param burst the number of requests that may run at once beyond the rate
  */
 public record RateLimit(double requestsPerSecond, double burst) {
   /** No limit. */
@@ -12,11 +12,12 @@
 
   public RateLimit {
     if (!(requestsPerSecond >= 0) || !(burst >= 0)) {
-      throw new IllegalArgumentException("a limit of " + requestsPerSecond + ", burst " + burst);
+      throw new IllegalArgumentException(
+          "invalid rate limit: requestsPerSecond=" + requestsPerSecond + " burst=" + burst);
     }
   }
 
-  /** Whether any number of requests may run. */
+  /** Returns whether the number of requests is not limited. */
   public boolean unlimited() {
     return requestsPerSecond == 0;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/Tenant.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/Tenant.java
@@ -6,14 +6,15 @@
 /**
  * A tenant as the configuration describes it.
  *
- * @param id its name
- * @param priority its rank, which goes before that of a route; nothing if it has none of its own
- * @param limit how many requests it may run
- * @param residency where its requests may run, be cached and be kept
+ * @param id the name of the tenant
+ * @param priority the tenant's priority, which takes precedence over that of a route; empty if it
+ *     has none
+ * @param limit the limit on its requests
+ * @param residency the regions in which its requests may run, be cached and be stored
  */
 public record Tenant(TenantId id, OptionalInt priority, RateLimit limit, Residency residency) {
 
-  /** A tenant that is bound to no region. */
+  /** Creates a tenant that is not bound to a region. */
   public Tenant(TenantId id, OptionalInt priority, RateLimit limit) {
     this(id, priority, limit, Residency.ANY);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/TenantDirectory.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/tenancy/TenantDirectory.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The tenants of one configuration, found by key and by name; immutable. */
+/** The tenants of one configuration, indexed by key and by name; immutable. */
 public final class TenantDirectory {
-  /** A configuration without tenants: callers need no key. */
+  /** The directory of a configuration without tenants, under which callers need no key. */
   public static final TenantDirectory NONE = new Builder().build();
 
   private final Map<ApiKey, Tenant> byKey;
@@ -22,7 +22,7 @@
     this.boundToRegions = byId.values().stream().anyMatch(tenant -> tenant.residency().bound());
   }
 
-  /** Collects tenants. */
+  /** Collects the tenants of a directory. */
   public static final class Builder {
     private final Map<ApiKey, Tenant> byKey = new HashMap<>();
     private final Map<TenantId, Tenant> byId = new HashMap<>();
@@ -31,59 +31,60 @@
      * Adds a tenant.
      *
      * @param tenant the tenant
-     * @param keys its keys; a tenant without keys cannot be named by any caller
+     * @param keys its keys; callers cannot act for a tenant without keys
      * @throws IllegalArgumentException if the tenant or one of the keys was added before
      */
     public Builder add(Tenant tenant, Iterable<ApiKey> keys) {
       if (byId.put(tenant.id(), tenant) != null) {
-        throw new IllegalArgumentException("tenant " + tenant.id().value() + " twice");
+        throw new IllegalArgumentException(
+            "tenant " + tenant.id().value() + " is configured twice");
       }
       for (ApiKey key : keys) {
         Tenant other = byKey.put(key, tenant);
         if (other != null && !other.equals(tenant)) {
-          throw new IllegalArgumentException("key " + key + " of two tenants");
+          throw new IllegalArgumentException("key " + key + " belongs to two tenants");
         }
       }
       return this;
     }
 
-    /** The tenants added so far. */
+    /** Builds a directory of the tenants added so far. */
     public TenantDirectory build() {
       return new TenantDirectory(this);
     }
   }
 
-  /** Whether callers need keys at all. */
+  /** Returns whether callers need keys at all. */
   public boolean keysRequired() {
     return !byId.isEmpty();
   }
 
-  /** Whether any tenant has a limit. */
+  /** Returns whether any tenant has a limit. */
   public boolean limited() {
     return limited;
   }
 
-  /** Whether any tenant is bound to regions. */
+  /** Returns whether any tenant is bound to regions. */
   public boolean boundToRegions() {
     return boundToRegions;
   }
 
-  /** The tenant that holds a key. */
+  /** Returns the tenant of a key. */
   public Optional<Tenant> findByKey(ApiKey key) {
     return Optional.ofNullable(byKey.get(key));
   }
 
-  /** The tenant of a name. */
+  /** Returns the tenant with a name. */
   public Optional<Tenant> find(TenantId id) {
     return Optional.ofNullable(byId.get(id));
   }
 
-  /** How many tenants there are. */
+  /** Returns the number of tenants. */
   public int size() {
     return byId.size();
   }
 
-  /** All keys. */
+  /** Returns the keys of all tenants. */
   Set<ApiKey> keys() {
     return byKey.keySet();
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/tenancy/TestKeyAuthenticator.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/tenancy/TestKeyAuthenticator.java
@@ -52,7 +52,10 @@
     assertEquals(new KeyDecision.Undecided(-1), authenticate(null));
   }
 
-  /** A process that stood still judges by when it read the request, not by when it was proven. */
+  /**
+   * After a pause of the process, the age of the proof counts up to the time at which the request
+   * was read.
+   */
   @Test
   void proofFromBeforeAPauseIsTooOldAfterIt() {
     recordProofNow();
@@ -99,7 +102,7 @@
     assertEquals(new KeyDecision.Undecided(500), decisions.get(0));
   }
 
-  /** Several wait; one proof that is too early for the second one makes another check. */
+  /** Two requests wait. A proof that is too early for the second one must start another check. */
   @Test
   void eachRequestWaitsForAProofAsOfItsArrival() {
     recordProofNow();
