--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/handover/HandoverClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/handover/HandoverClient.java
@@ -11,7 +11,7 @@
 import org.baykeel.gateway.telemetry.GatewayEvent;
 import org.baykeel.gateway.telemetry.GatewayLog;
 
-/** Gets a program's state from the node that served it last. */
+/** Requests a program's state from the node that served it last. */
 public final class HandoverClient implements GrantSource, TurnSource {
   private final HolderDirectory holders;
   private final HandoverTransport transport;
@@ -20,8 +20,8 @@
   /**
    * Creates a client.
    *
-   * @param holders knows who served a program last
-   * @param transport asks that node
+   * @param holders finds the node that served a program last
+   * @param transport sends requests to that node
    */
   public HandoverClient(HolderDirectory holders, HandoverTransport transport, GatewayLog log) {
     this.holders = holders;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/handover/HandoverTransport.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/handover/HandoverTransport.java
@@ -8,12 +8,14 @@
 import org.baykeel.gateway.peer.PeerAddress;
 import org.baykeel.gateway.program.ProgramId;
 
-/** Asks other nodes for a program's state. Answers come exactly once, possibly with nothing. */
+/**
+ * Requests a program's state from other nodes. Each response arrives exactly once and may be empty.
+ */
 public interface HandoverTransport {
 
-  /** Asks a node to give up what it has left of a program's grant. */
+  /** Requests that a node release the tokens that it has remaining of a program's grant. */
   void requestGrant(PeerAddress peer, ProgramId program, Consumer<Optional<GrantTransfer>> answer);
 
-  /** Asks a node for what it has in memory of a turn and all it continues. */
+  /** Requests those of a turn and of the turns that it continues that a node has in memory. */
   void requestTurns(PeerAddress peer, String turnId, Consumer<List<StoredTurn>> answer);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/handover/HolderDirectory.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/handover/HolderDirectory.java
@@ -19,25 +19,32 @@
 import org.baykeel.gateway.scheduling.StableHash;
 
 /**
- * Which node served a program last. Each program has a registrar among the nodes of a region, found
- * by rendezvous hashing, so that no turn asks across regions; a node that takes a program over
- * tells it, and a node that needs the program's state asks it. Soft state: an answer that is
- * missing or wrong costs a call to the store, no more.
+ * Finds the node that served a program last. Each program has a registrar among the nodes of a
+ * region, chosen by rendezvous hashing, so that no turn requires a query to another region. A node
+ * that takes a program over notifies the registrar, and a node that needs the program's state
+ * queries it. This is soft state: a missing or wrong reply costs a call to the store and nothing
+ * more.
  */
 public final class HolderDirectory implements PeerMessageListener {
-  /** Programs for which this node is registrar; those unused longest are forgotten first. */
+  /**
+   * The most programs for which this node is registrar; the least recently used entries are
+   * evicted.
+   */
   private static final int MAX_HOLDERS = 8_192;
 
-  /** Longer identifiers don't fit a datagram; their programs are not handed over. */
+  /**
+   * The longest identifier that fits into a datagram; programs with longer ones are not handed
+   * over.
+   */
   private static final int MAX_ID_LENGTH = 128;
 
   /**
-   * A few ways within a region and a little work at a slow node; after it the store is asked. What
-   * the way itself takes, as measured, comes on top.
+   * The time limit of a query, to which the measured round trip is added; the store is queried
+   * after it. It allows for a few round trips within a region and some processing on a slow node.
    */
   private static final long QUERY_TIMEOUT_MILLIS = 25;
 
-  /** How long a registrar that did not answer is not asked. */
+  /** How long a registrar is not queried after a missing reply. */
   private static final long UNRESPONSIVE_NANOS = 5_000_000_000L;
 
   private final PeerAddress ownAddress;
@@ -45,7 +52,7 @@
   private final PeerTransport transport;
   private final PeerMessageCodec codec;
   private final EventLoop eventLoop;
-  private final PeerLatency distance;
+  private final PeerLatency peerLatency;
   private final Map<ProgramId, PeerAddress> holders =
       new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
@@ -60,15 +67,15 @@
   private final Map<ProgramId, Query> queriesByProgram = new HashMap<>();
   private long lastQueryId;
 
-  /** A question to a registrar, and all who wait for its answer. */
+  /** A query to a registrar and all callbacks that wait for its reply. */
   private record Query(
       long id, ProgramId program, List<Consumer<Optional<PeerAddress>>> callbacks) {}
 
   /**
    * Creates a directory.
    *
-   * @param ownAddress where this node is reached by the others
-   * @param distance how far the registrars are
+   * @param ownAddress the address at which other nodes reach this one
+   * @param peerLatency the round trips to the registrars
    */
   public HolderDirectory(
       PeerAddress ownAddress,
@@ -76,16 +83,16 @@
       PeerTransport transport,
       PeerMessageCodec codec,
       EventLoop eventLoop,
-      PeerLatency distance) {
+      PeerLatency peerLatency) {
     this.ownAddress = ownAddress;
     this.peers = peers;
     this.transport = transport;
     this.codec = codec;
     this.eventLoop = eventLoop;
-    this.distance = distance;
+    this.peerLatency = peerLatency;
   }
 
-  /** Tells the program's registrar that this node serves it now. */
+  /** Notifies the program's registrar that this node serves the program now. */
   public void announceHolder(ProgramId program) {
     if (!fits(program)) {
       return;
@@ -101,7 +108,7 @@
   /**
    * Finds the other node that served a program last.
    *
-   * @param answer takes its address, exactly once; nothing if none is known in time
+   * @param answer receives its address exactly once; empty if none is known in time
    */
   public void locate(ProgramId program, Consumer<Optional<PeerAddress>> answer) {
     if (!fits(program)) {
@@ -126,7 +133,7 @@
     queries.put(query.id(), query);
     queriesByProgram.put(program, query);
     transport.send(registrar, codec.encode(new PeerMessage.HolderQuery(query.id(), program)));
-    long timeoutMillis = QUERY_TIMEOUT_MILLIS + distance.roundTripMillis(registrar);
+    long timeoutMillis = QUERY_TIMEOUT_MILLIS + peerLatency.roundTripMillis(registrar);
     eventLoop.schedule(timeoutMillis, () -> onTimeout(query.id(), registrar));
   }
 
@@ -173,7 +180,7 @@
     }
   }
 
-  /** Rendezvous hashing: the node with the highest rank for the program. */
+  /** Returns the node with the highest rendezvous-hash rank for the program. */
   private PeerAddress registrar(ProgramId program) {
     PeerAddress best = ownAddress;
     int highest = rank(ownAddress, program);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/history/StoredTurn.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/history/StoredTurn.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * A turn whose answer was given whole.
+ * A turn whose response was completed.
  *
  * @param id the identifier of its request
- * @param ancestors the turns it continues, oldest first
- * @param input what the caller sent
- * @param output the data of its events, a line feed after each
+ * @param ancestors the turns that it continues, oldest first
+ * @param input the body that the caller sent
+ * @param output the data of its events, each followed by a line feed
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record StoredTurn(String id, List<String> ancestors, byte[] input, byte[] output) {
@@ -18,7 +18,7 @@
     ancestors = List.copyOf(ancestors);
   }
 
-  /** This turn and all it continues, oldest first. */
+  /** Returns the identifiers of this turn and of all turns that it continues, oldest first. */
   public List<String> chain() {
     List<String> chain = new ArrayList<>(ancestors);
     chain.add(id);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/history/StoredTurnCodec.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/history/StoredTurnCodec.java
@@ -10,14 +10,17 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** A kept turn as one or more values of bounded size, the first of which tells their number. */
+/**
+ * Encodes a stored turn as one or more values of bounded size; the first value contains their
+ * number.
+ */
 public final class StoredTurnCodec {
   private static final byte FORMAT = 1;
 
   private StoredTurnCodec() {}
 
   /**
-   * A turn without its identifier, as one value.
+   * Encodes a turn without its identifier as one value.
    *
    * @param turn the turn
    */
@@ -39,9 +42,9 @@
   }
 
   /**
-   * Reads what {@link #encodeWhole} has written.
+   * Decodes a value written by {@link #encodeWhole}.
    *
-   * @throws IllegalArgumentException if the bytes are none of that
+   * @throws IllegalArgumentException if the bytes are not such a value
    */
   public static StoredTurn decodeWhole(String id, byte[] value) {
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(value))) {
@@ -54,7 +57,7 @@
       byte[] output = in.readNBytes(in.readInt());
       return new StoredTurn(id, ancestors, input, output);
     } catch (IOException e) {
-      throw new IllegalArgumentException("not a kept turn: " + value.length + " bytes", e);
+      throw new IllegalArgumentException("invalid stored turn of " + value.length + " bytes", e);
     }
   }
 
@@ -78,7 +81,7 @@
 
   static int pieceCount(byte[] firstValue) {
     if (firstValue.length < 2 || firstValue[0] != FORMAT) {
-      throw new IllegalArgumentException("not a kept turn: " + firstValue.length + " bytes");
+      throw new IllegalArgumentException("invalid stored turn of " + firstValue.length + " bytes");
     }
     return firstValue[1] & 0xFF;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/history/TurnCache.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/history/TurnCache.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Kept turns in memory, bounded by bytes; those unused longest go first. */
+/** Stored turns in memory, bounded by bytes; the least recently used ones are evicted. */
 final class TurnCache {
   private final LinkedHashMap<String, StoredTurn> turns = new LinkedHashMap<>(64, 0.75f, true);
   private final long maxBytes;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/history/TurnHistory.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/history/TurnHistory.java
@@ -19,11 +19,12 @@
 import org.baykeel.gateway.storage.TransactionOutcome;
 
 /**
- * Keeps turns and finds them again.
+ * Saves turns in the store and finds them again.
  *
- * <p>Invariant: a turn is in the store before the end of its answer is sent, so whoever names a
- * turn that a caller has seen whole finds it at any process. A turn that the store does not have
- * was never answered whole; a turn that could not be looked up is unavailable, never unknown.
+ * <p>Invariant: a turn is in the store before the end of its response is sent, so a caller that
+ * refers to a turn that it received completely can continue it at any process. A turn that is not
+ * in the store was never completed; a turn that could not be looked up is reported as unavailable,
+ * never as unknown.
  */
 public final class TurnHistory {
   private static final String TABLE = "turn";
@@ -36,17 +37,20 @@
   private final TurnCache cache;
   private final TurnSource source;
 
-  /** How a search for a turn ended. */
+  /** The result of a search for a turn. */
   public sealed interface Lookup {
-    /** The turn and all it continues, oldest first. */
+    /** The turn and all turns that it continues, oldest first. */
     record Found(List<StoredTurn> chain) implements Lookup {
 
-      /** The identifiers of the chain, oldest first. */
+      /** Returns the identifiers of the chain, oldest first. */
       public List<String> ids() {
         return chain.stream().map(StoredTurn::id).toList();
       }
 
-      /** What an engine is to read: inputs and outputs of the chain, then the new input. */
+      /**
+       * Returns the request body for an engine: the inputs and outputs of the chain, then the new
+       * input.
+       */
       public byte[] continuedBy(byte[] newInput) {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         for (StoredTurn turn : chain) {
@@ -58,7 +62,7 @@
       }
     }
 
-    /** There is no such turn. */
+    /** The turn does not exist. */
     record Absent() implements Lookup {}
 
     /** The store could not be read. */
@@ -68,8 +72,8 @@
   /**
    * Creates a history.
    *
-   * @param cacheBytes inputs and outputs kept in memory
-   * @param source gets turns from other processes
+   * @param cacheBytes the bytes of inputs and outputs that are cached in memory
+   * @param source requests turns from other processes
    */
   public TurnHistory(DurableStore store, EventLoop eventLoop, long cacheBytes, TurnSource source) {
     this.store = store;
@@ -78,13 +82,16 @@
     this.source = source;
   }
 
-  /** Whether a turn's whole chain is in memory. */
+  /** Returns whether a turn and all turns that it continues are in memory. */
   public boolean inMemory(String turnId) {
     StoredTurn turn = cache.get(turnId);
     return turn != null && turn.ancestors().stream().allMatch(id -> cache.get(id) != null);
   }
 
-  /** What is in memory of a turn and all it continues; each of them is in the store. */
+  /**
+   * Returns those of a turn and of the turns that it continues that are in memory; each of them is
+   * in the store.
+   */
   public List<StoredTurn> turnsInMemory(String turnId) {
     StoredTurn last = cache.get(turnId);
     if (last == null) {
@@ -94,10 +101,10 @@
   }
 
   /**
-   * Finds a turn and all it continues.
+   * Finds a turn and all turns that it continues.
    *
-   * @param program the program that continues it
-   * @param giveUpNanos when a turn that cannot be read counts as unavailable
+   * @param program the program that continues the turn
+   * @param giveUpNanos the time after which a turn that cannot be read is unavailable
    */
   public void find(ProgramId program, String turnId, long giveUpNanos, Consumer<Lookup> answer) {
     if (inMemory(turnId)) {
@@ -113,16 +120,16 @@
         });
   }
 
-  /** Finds a turn in memory, and what is missing there in the store. */
+  /** Finds a turn in memory, and the missing turns of its chain in the store. */
   private void findInStore(String turnId, long giveUpNanos, Consumer<Lookup> answer) {
     fetch(turnId, giveUpNanos, last -> onLast(last, giveUpNanos, answer));
   }
 
   /**
-   * Keeps a turn.
+   * Saves a turn in the store.
    *
-   * @param giveUpNanos when to stop trying
-   * @param answer true once the store has it; false if that is not certain
+   * @param giveUpNanos the time after which a failed write is not repeated
+   * @param answer receives true once the store has the turn; false if that is not certain
    */
   public void save(StoredTurn turn, long giveUpNanos, Consumer<Boolean> answer) {
     store.transact(insertTransaction(turn), outcome -> onSaved(turn, giveUpNanos, outcome, answer));
@@ -141,7 +148,7 @@
 
   private void onSaved(
       StoredTurn turn, long giveUpNanos, TransactionOutcome outcome, Consumer<Boolean> answer) {
-    // A conflict means that an earlier copy of this very write was done: identifiers are unique.
+    // A conflict means that an earlier copy of the same write was applied: identifiers are unique.
     if (outcome instanceof TransactionOutcome.Applied
         || outcome instanceof TransactionOutcome.Conflict) {
       cache.put(turn);
@@ -204,7 +211,7 @@
     return new Lookup.Found(chain);
   }
 
-  /** A turn, or why there is none. */
+  /** A turn, or the reason why there is none. */
   private record Fetched(StoredTurn turn, boolean absent) {}
 
   private void fetch(String id, long giveUpNanos, Consumer<Fetched> answer) {
@@ -236,7 +243,10 @@
     store.read(read, whole -> onAllPieces(id, giveUpNanos, pieces, whole, answer));
   }
 
-  /** A read may be answered from an old state; a condition is always checked against the newest. */
+  /**
+   * Confirms that a turn does not exist. A read may return an old state, while a condition is
+   * always checked against the newest state.
+   */
   private void confirmAbsent(String id, long giveUpNanos, Consumer<Fetched> answer) {
     Transaction.Expectation absent =
         new Transaction.Expectation(address(id, 0), Transaction.ABSENT);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/history/TurnSource.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/history/TurnSource.java
@@ -4,18 +4,20 @@
 import java.util.function.Consumer;
 import org.baykeel.gateway.program.ProgramId;
 
-/** Where a process that takes over a line of turns gets those that another one has in memory. */
+/**
+ * Requests turns that another process has in memory, for a process that takes a conversation over.
+ */
 @FunctionalInterface
 public interface TurnSource {
 
-  /** A source of a process that has no others. */
+  /** A source for a process without peers. */
   TurnSource NONE = (program, turnId, answer) -> answer.accept(List.of());
 
   /**
-   * Asks for a turn and all it continues.
+   * Requests a turn and all turns that it continues.
    *
-   * @param program the program that continues it
-   * @param answer takes what there is, exactly once; possibly nothing
+   * @param program the program that continues the turn
+   * @param answer receives the turns that were found exactly once; possibly none
    */
   void request(ProgramId program, String turnId, Consumer<List<StoredTurn>> answer);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/program/ProgramId.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/program/ProgramId.java
@@ -3,16 +3,19 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * Names one program.
+ * Identifies a program.
  *
- * @param value the identifier as its caller states it
+ * @param value the identifier that the caller sent, qualified by the caller's tenant
  */
 public record ProgramId(String value) {
   public ProgramId {
     requireNonNull(value, "value");
   }
 
-  /** Written out: the methods of a record are linked at run time, which costs each start. */
+  /**
+   * Implemented by hand because the generated methods of a record are linked at run time, which
+   * delays each process start.
+   */
   @Override
   public boolean equals(Object other) {
     return other instanceof ProgramId id && value.equals(id.value);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/handover/TestHolderDirectory.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/handover/TestHolderDirectory.java
@@ -67,11 +67,11 @@
   }
 
   private Optional<PeerAddress> locate(int node, ProgramId program) {
-    List<Optional<PeerAddress>> answers = new ArrayList<>();
-    nodes.get(node).locate(program, answers::add);
+    List<Optional<PeerAddress>> results = new ArrayList<>();
+    nodes.get(node).locate(program, results::add);
     eventLoop.advance(30);
-    assertEquals(1, answers.size(), "one answer");
-    return answers.get(0);
+    assertEquals(1, results.size(), "number of results");
+    return results.get(0);
   }
 
   @Test
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Nodes 0, 2 and 4 are in the east, 1 and 3 in the west. */
+  /** Nodes 0, 2 and 4 are in the east region, 1 and 3 in the west region. */
   private void startInTwoRegions() {
     Map<String, RegionId> regions = Map.of("e", new RegionId("east"), "w", new RegionId("west"));
     startAll(i -> new Topology(i % 2 == 0 ? "e" : "w", regions));
@@ -111,7 +111,8 @@
       eventLoop.advance(10);
       assertEquals(Optional.of(addresses.get(0)), locate(2, program));
       assertEquals(Optional.of(addresses.get(0)), locate(4, program));
-      assertEquals(Optional.empty(), locate(1, program), "the other region asks the store");
+      assertEquals(
+          Optional.empty(), locate(1, program), "the other region does not find the holder");
     }
   }
 
@@ -129,12 +130,12 @@
     network.detach(addresses.get(4));
     int waited = 0;
     for (int i = 0; i < PROGRAMS; i++) {
-      List<Optional<PeerAddress>> answers = new ArrayList<>();
-      nodes.get(0).locate(new ProgramId("p" + i), answers::add);
+      List<Optional<PeerAddress>> results = new ArrayList<>();
+      nodes.get(0).locate(new ProgramId("p" + i), results::add);
       eventLoop.advance(10);
-      waited += answers.isEmpty() ? 1 : 0;
+      waited += results.isEmpty() ? 1 : 0;
       eventLoop.advance(20);
-      assertEquals(List.of(Optional.empty()), answers);
+      assertEquals(List.of(Optional.empty()), results);
     }
     assertTrue(waited <= 1, waited + " waits");
   }
@@ -148,49 +149,49 @@
     assertEquals(Optional.empty(), locate(0, program));
   }
 
-  /** Messages that are stale, doubled or of a node that left. */
+  /** Messages that are stale, duplicated or from a node that has left. */
   private enum Stray {
     REPLY_TO_NO_QUERY {
       @Override
-      PeerMessage message(ProgramId program, PeerAddress gone) {
-        return new PeerMessage.HolderReply(77, Optional.of(gone));
+      PeerMessage message(ProgramId program, PeerAddress departed) {
+        return new PeerMessage.HolderReply(77, Optional.of(departed));
       }
     },
     ANNOUNCEMENT_OF_A_NODE_THAT_LEFT {
       @Override
-      PeerMessage message(ProgramId program, PeerAddress gone) {
+      PeerMessage message(ProgramId program, PeerAddress departed) {
         return new PeerMessage.HolderAnnouncement(program);
       }
     },
     QUERY_OF_A_NODE_THAT_LEFT {
       @Override
-      PeerMessage message(ProgramId program, PeerAddress gone) {
+      PeerMessage message(ProgramId program, PeerAddress departed) {
         return new PeerMessage.HolderQuery(1, program);
       }
     };
 
-    abstract PeerMessage message(ProgramId program, PeerAddress gone);
+    abstract PeerMessage message(ProgramId program, PeerAddress departed);
   }
 
   /**
-   * The worst that a stray message does is to name a node that has nothing, or to make its sender
-   * the registrar: then nobody is found and the store is asked.
+   * The most that a stray message may cause is that a node without state is named as the holder, or
+   * that its sender becomes the registrar. Then no holder is found and the store is queried.
    */
   @ParameterizedTest
   @EnumSource(Stray.class)
   void strayMessagesOnlyChangeWhichNodeIsQueriedFirst(Stray stray) {
     startAll();
-    PeerAddress gone = new PeerAddress("10.0.9.9", 7_000);
+    PeerAddress departed = new PeerAddress("10.0.9.9", 7_000);
     ProgramId program = new ProgramId("p");
     nodes.get(1).announceHolder(program);
     eventLoop.advance(10);
-    byte[] datagram = new PeerMessageCodec().encode(stray.message(program, gone));
+    byte[] datagram = new PeerMessageCodec().encode(stray.message(program, departed));
     for (int copies = 0; copies < 2; copies++) {
-      addresses.forEach(to -> network.transportOf(gone).send(to, datagram));
+      addresses.forEach(to -> network.transportOf(departed).send(to, datagram));
     }
     eventLoop.advance(10);
     Optional<PeerAddress> noHolder = Optional.empty();
-    Optional<PeerAddress> sender = Optional.of(gone);
+    Optional<PeerAddress> sender = Optional.of(departed);
     assertTrue(
         Set.of(Optional.of(addresses.get(1)), sender, noHolder).contains(locate(0, program)));
     nodes.get(2).announceHolder(program);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/history/TestTurnHistory.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/history/TestTurnHistory.java
@@ -93,7 +93,7 @@
   @Test
   void savingSucceedsOnlyIfItIsCertain() {
     store.fault(Fault.REFUSE);
-    assertNull(save(history, turn("a", List.of(), 10), 1_000), "still trying");
+    assertNull(save(history, turn("a", List.of(), 10), 1_000), "still retrying");
     eventLoop.advance(2_000);
     AtomicReference<Boolean> saved = new AtomicReference<>();
     history.save(turn("b", List.of(), 10), eventLoop.nanoTime(), saved::set);
