--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedEngines.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedEngines.java
@@ -14,7 +14,10 @@
 import org.baykeel.gateway.directory.Engine;
 import org.baykeel.gateway.testing.TestingEventLoop;
 
-/** Engines in virtual time that refuse, break off, fall silent or answer, as a seed decides. */
+/**
+ * Engines in virtual time that refuse requests, break connections, stop responding or respond, as a
+ * seeded random generator decides.
+ */
 final class SimulatedEngines implements EngineTransport {
   static final int EVENTS = 6;
   static final int ENGINES = 4;
@@ -33,14 +36,14 @@
     this.random = random;
   }
 
-  /** When an engine started last. */
+  /** Returns the time at which an engine last started. */
   long startMillis(String engine) {
     return startMillis.getOrDefault(engine, INITIAL_START_MILLIS);
   }
 
   /**
-   * An engine starts again under its identifier: what it ran is gone, and those who sent that hear
-   * of it soon, or never.
+   * Restarts an engine under its identifier. Its running requests are lost; their senders receive a
+   * failure soon or never.
    */
   void restart(String engine) {
     startMillis.put(engine, startMillis(engine) + 1);
@@ -52,12 +55,12 @@
     }
   }
 
-  /** How often a request began to run at any engine. */
+  /** Returns how often a request started to run, on all engines together. */
   int runs(String requestId) {
     return runs.getOrDefault(requestId, 0);
   }
 
-  /** The body with which a request ran last. */
+  /** Returns the body with which a request ran last. */
   String body(String requestId) {
     return bodies.get(requestId);
   }
@@ -84,12 +87,12 @@
 
     @Override
     public void pauseReading() {
-      throw new IllegalStateException("callers read at once");
+      throw new IllegalStateException("reading is never paused");
     }
 
     @Override
     public void resumeReading() {
-      throw new IllegalStateException("callers read at once");
+      throw new IllegalStateException("reading is never paused");
     }
 
     private void schedule(long millis, Runnable step) {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedNode.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedNode.java
@@ -30,7 +30,9 @@
 import org.baykeel.gateway.testing.TestingTenancy;
 import org.baykeel.gateway.urgency.ProgramUrgency;
 
-/** One life of one node: everything but the store and the engines is lost with it. */
+/**
+ * One incarnation of a node. All its state is lost with it; only the store and the engines remain.
+ */
 final class SimulatedNode {
   private static final long CACHE_BYTES = 400;
 
@@ -89,7 +91,10 @@
     return new EngineRecord(engine, "s", "10.0.0.1", 80, "z", 8, false, 0, startMillis);
   }
 
-  /** Hears when an engine started, from its entry or from a report; perhaps of an earlier start. */
+  /**
+   * Receives the start time of an engine from its entry or from a report, possibly of an earlier
+   * start.
+   */
   void onEngineStart(String engine, long startMillis, boolean entry) {
     if (entry) {
       state.putEngine(entry(engine, startMillis));
@@ -98,12 +103,12 @@
     }
   }
 
-  /** When an engine started last, as far as this node knows. */
+  /** Returns the last start time of an engine that this node has received. */
   long engineStartMillis(String engine) {
     return directory.find(new EngineId(engine)).record().startMillis();
   }
 
-  /** Requests that are under way at the engines as they are now. */
+  /** Returns the number of requests in progress at the current engines. */
   int inFlight() {
     return directory.ofService("s").stream().mapToInt(Engine::inFlight).sum();
   }
@@ -116,7 +121,10 @@
     return history;
   }
 
-  /** The node loses power: its connections to engines are gone, and nobody hears of it again. */
+  /**
+   * Simulates a power loss: the connections to engines are gone, and no other node reaches this one
+   * again.
+   */
   void losePower() {
     handoverNode.leave();
     calls.forEach(ClientCall::callerDisconnected);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedProgram.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedProgram.java
@@ -15,7 +15,9 @@
 import org.baykeel.gateway.call.ResponseHead;
 import org.baykeel.gateway.testing.TestingEventLoop;
 
-/** A program's caller: takes turns, one try after the other, and notes all it gets. */
+/**
+ * The caller of a program. It makes calls for turns one after the other and records all responses.
+ */
 final class SimulatedProgram {
   static final int TURN_TOKENS = 60;
   static final int TOKENS_PER_EVENT = 10;
@@ -28,7 +30,7 @@
   private String lastCompleted;
   private ProgramCall current;
 
-  /** One try of one turn. */
+  /** One call of one turn. */
   static final class ProgramCall implements CallResponder {
     private final String id;
     private final String previous;
@@ -40,7 +42,7 @@
     private Refusal refusal;
     private boolean ended;
     private boolean finished;
-    private boolean onNodeLost;
+    private boolean nodeLost;
     private boolean outOfOrder;
 
     ProgramCall(String id, String previous) {
@@ -74,13 +76,13 @@
     }
 
     void onNodeLost() {
-      onNodeLost = true;
+      nodeLost = true;
       finished = true;
     }
 
     @Override
     public void refuse(Refusal newRefusal) {
-      if (!onNodeLost) {
+      if (!nodeLost) {
         refusal = newRefusal;
         finished = true;
       }
@@ -96,7 +98,7 @@
 
     @Override
     public void sendEvent(byte[] bytes) {
-      if (onNodeLost) {
+      if (nodeLost) {
         return;
       }
       events++;
@@ -107,7 +109,7 @@
 
     @Override
     public void endStream() {
-      if (!onNodeLost) {
+      if (!nodeLost) {
         ended = true;
         finished = true;
       }
@@ -137,7 +139,10 @@
     return calls.stream().mapToLong(ProgramCall::events).sum() * TOKENS_PER_EVENT;
   }
 
-  /** The text that the engine must get before the input of a turn that continues this one. */
+  /**
+   * Returns the text that an engine must receive before the input of a turn that continues the
+   * given one.
+   */
   String historyText(String turn) {
     return turn == null ? "" : historyText.get(turn);
   }
@@ -146,17 +151,17 @@
     return "in " + id + ";";
   }
 
-  String previousOf(ProgramCall attempt) {
-    return attempt.previous;
+  String previousOf(ProgramCall call) {
+    return call.previous;
   }
 
-  void nodeGone() {
+  void onNodeLost() {
     if (current != null) {
       current.onNodeLost();
     }
   }
 
-  /** Takes the next try at a node, unless one is under way. */
+  /** Makes the next call at a node, unless one is in progress. */
   ProgramCall startNextCall(SimulatedNode node, TestingEventLoop eventLoop) {
     if (current != null && !current.finished) {
       return null;
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TenancyNode.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TenancyNode.java
@@ -39,9 +39,12 @@
 import org.baykeel.gateway.testing.TestingStore;
 import org.baykeel.gateway.testing.TestingTenancy;
 
-/** One life of one node, as far as keys and limits go; it can lose power, freeze and be cut off. */
+/**
+ * One incarnation of a node, restricted to keys and limits. It can lose power, be paused and be cut
+ * off from the store.
+ */
 final class TenancyNode implements PeerTransport.Receiver {
-  /** The store's clock is this far from the simulation's. */
+  /** The offset of the store's clock from that of the simulation. */
   private static final long STORE_OFFSET_MILLIS = 77_777;
 
   private static final long LOST_MILLIS = 1_000;
@@ -62,12 +65,15 @@
   private boolean paused;
   private boolean cutFromStore;
 
-  /** Reads the tenants of a version of the configuration. */
+  /** Returns the tenants of a version of the configuration. */
   interface Catalogue {
     TenantDirectory tenants(String version);
   }
 
-  /** The node's own loop: what comes due while the process stands still runs when it goes on. */
+  /**
+   * The event loop of the node. Tasks that come due while the process is paused run when it
+   * resumes.
+   */
   private final class NodeEventLoop implements EventLoop {
     @Override
     public long nanoTime() {
@@ -90,7 +96,7 @@
     }
   }
 
-  /** The node's way to the store. */
+  /** The node's connection to the store. */
   private final class StoreConnection implements DurableStore {
     private boolean failIfCut(Consumer<?> answer, Runnable lost) {
       if (cutFromStore) {
@@ -188,7 +194,7 @@
     limiter.start();
   }
 
-  /** Follows the operator's configuration. */
+  /** Adopts the versions of the operator's configuration. */
   private final class Configuration implements TableWatcher.Listener {
     private final Catalogue catalogue;
 
@@ -237,7 +243,10 @@
         () -> codec.decode(datagram).ifPresent(message -> limiter.onMessage(sender, message)));
   }
 
-  /** Takes a request; {@code run} is called if it may run, {@code limited} if its limit is over. */
+  /**
+   * Accepts a request; {@code run} is called if it may run, {@code limited} if the tenant's limit
+   * is exceeded.
+   */
   void request(ApiKey key, RequestKind kind, Runnable run, Runnable limited) {
     runOrDefer(
         () -> {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TestGatewaySimulation.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TestGatewaySimulation.java
@@ -24,8 +24,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Several nodes before faulty engines and a faulty store, in virtual time from a seed: nodes lose
- * power, one or all at once; the store refuses, loses answers, does writes late, can't be read.
+ * Runs several nodes with faulty engines and a faulty store in virtual time, from a seed. Single
+ * nodes or all at once lose power; the store refuses writes, loses responses, applies writes late
+ * and fails reads. Guards against turns that run twice, spend more than the budget or lose their
+ * history.
  */
 class TestGatewaySimulation {
   private static final int SEEDS = 300;
@@ -62,7 +64,7 @@
         Residency.ANY);
   }
 
-  /** One schedule. */
+  /** One schedule of calls and faults. */
   private static final class Schedule {
     private final Random random;
     private final TestingEventLoop eventLoop = new TestingEventLoop();
@@ -124,7 +126,9 @@
       }
     }
 
-    /** Nodes learn of a start at different times, and of two starts in any order. */
+    /**
+     * Restarts an engine. Nodes receive the start at different times, and two starts in any order.
+     */
     private void restartEngine(String engine) {
       engines.restart(engine);
       long startMillis = engines.startMillis(engine);
@@ -140,7 +144,7 @@
     private void losePower(int node) {
       for (int i = 0; i < PROGRAMS; i++) {
         if (nodeOfProgram.get(i) == node) {
-          programs.get(i).nodeGone();
+          programs.get(i).onNodeLost();
         }
       }
       nodes.get(node).losePower();
@@ -151,7 +155,7 @@
       for (SimulatedProgram program : programs) {
         assertTrue(
             program.tokensReceived() <= program.budget() + SimulatedProgram.TURN_TOKENS,
-            seed + ": handed " + program.tokensReceived() + " of " + program.budget());
+            seed + ": received " + program.tokensReceived() + " of " + program.budget());
         for (SimulatedProgram.ProgramCall call : program.calls()) {
           checkCall(seed + " " + call.id(), program, call);
         }
@@ -166,31 +170,30 @@
           assertEquals(
               engines.startMillis("e" + i), node.engineStartMillis("e" + i), seed + ": e" + i);
         }
-        assertEquals(0, node.inFlight(), seed + ": requests under way");
+        assertEquals(0, node.inFlight(), seed + ": requests in progress");
       }
     }
 
     private void checkCall(
-        String what, SimulatedProgram program, SimulatedProgram.ProgramCall call) {
+        String label, SimulatedProgram program, SimulatedProgram.ProgramCall call) {
       boolean retained = program.calls().indexOf(call) >= 0 && isRetained(program);
       int runs = engines.runs(call.id());
-      assertTrue(runs <= (retained ? 1 : 2), what + " ran " + runs + " times");
-      assertTrue(!call.outOfOrder(), what + " got events out of order");
+      assertTrue(runs <= (retained ? 1 : 2), label + " ran " + runs + " times");
+      assertTrue(!call.outOfOrder(), label + " got events out of order");
       if (call.ended()) {
-        assertEquals(SimulatedEngines.EVENTS, call.events(), what + " ended early");
+        assertEquals(SimulatedEngines.EVENTS, call.events(), label + " ended early");
       }
       if (call.refusal() != null) {
         int status = call.refusal().kind().httpStatus();
         if (status == 402 || status == 404 || retained && status == 503) {
-          assertEquals(0, runs, what + " ran though it was answered " + status);
+          assertEquals(0, runs, label + " ran although the response status was " + status);
         }
-        assertTrue(
-            status != 404 || call.id().isEmpty(), what + ": a turn that was kept is unknown");
+        assertTrue(status != 404 || call.id().isEmpty(), label + ": a stored turn is unknown");
       }
       if (retained && runs > 0) {
         String expected =
             program.historyText(program.previousOf(call)) + SimulatedProgram.input(call.id());
-        assertEquals(expected, engines.body(call.id()), what + " ran with another history");
+        assertEquals(expected, engines.body(call.id()), label + " ran with another history");
       }
     }
 
@@ -227,6 +230,6 @@
             (int) program.calls().stream().filter(SimulatedProgram.ProgramCall::ended).count();
       }
     }
-    assertTrue(completed > SEEDS * 10, "schedules that serve nothing prove nothing: " + completed);
+    assertTrue(completed > SEEDS * 10, "too few completed calls: " + completed);
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TestTenancySimulation.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/TestTenancySimulation.java
@@ -28,11 +28,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Nodes with the real state machines, message codec and store rows of keys and limits, in virtual
- * time from a seed. An observer outside counts what runs for each tenant and with which key.
+ * Runs nodes with the real state machines, message codec and store rows of keys and limits in
+ * virtual time, from a seed. An external observer counts the requests that run, by tenant and by
+ * key. Guards against requests that run with a revoked key or beyond the tenant's limit.
  */
 class TestTenancySimulation {
-  /** Schedules of one run; {@code -Dtenancy.schedules=10000} for a long one. */
+  /** The number of schedules of one run; {@code -Dtenancy.schedules=10000} sets a long run. */
   private static final int SCHEDULES = Integer.getInteger("tenancy.schedules", 60);
 
   private static final int NODES = 5;
@@ -44,7 +45,7 @@
   private static final double SLACK = 20;
   private static final RowAddress CONFIGURATION = new RowAddress("op", "", "config");
 
-  /** Tenants of one schedule: their rate and burst, and how many times their limit they ask for. */
+  /** A tenant of the schedules: its rate, its burst, and its demand in multiples of its limit. */
   private record Profile(String name, double rate, double burst, double load) {}
 
   private static final List<Profile> PROFILES =
@@ -55,7 +56,7 @@
           new Profile("tiny", 0.5, 1, 3),
           new Profile("free", 0, 0, 0));
 
-  /** One schedule. */
+  /** One schedule of requests and faults. */
   private static final class Schedule {
     private final int seed;
     private final Random random;
@@ -113,7 +114,7 @@
       network.attach(address(i), node);
     }
 
-    /** The operator writes what it wants now. */
+    /** Writes a new version of the operator's configuration. */
     private void writeConfiguration() {
       version++;
       TenantDirectory.Builder builder = new TenantDirectory.Builder();
@@ -177,7 +178,7 @@
                   + seed
                   + ": "
                   + key
-                  + " ran though it was taken away "
+                  + " ran although it was revoked "
                   + (sent - removed) / 1e6
                   + " ms before");
       runs.computeIfAbsent(profile.name(), name -> new ArrayList<>())
@@ -248,7 +249,7 @@
       }
     }
 
-    /** Requests that were both sent and run within a window, for every window. */
+    /** Checks, for every window, the number of requests that were both sent and run within it. */
     private static void checkWindows(String seed, Profile profile, List<long[]> requests) {
       double allowed = (profile.rate() * 5 + profile.burst()) * OVERAGE + SLACK;
       List<long[]> bySent = new ArrayList<>(requests);
@@ -276,14 +277,14 @@
       schedule.checkLimits("seed " + seed);
       ran += schedule.runs.values().stream().mapToInt(List::size).sum();
     }
-    assertTrue(ran > SCHEDULES * 300, "schedules that serve nothing prove nothing: " + ran);
+    assertTrue(ran > SCHEDULES * 300, "too few requests ran: " + ran);
   }
 
   @Test
   void withoutFaultsNothingBelowALimitIsRefused() {
     Schedule schedule = new Schedule(1, true);
     schedule.run();
-    schedule.checkLimits("calm");
+    schedule.checkLimits("without faults");
     for (String name : List.of("large", "small", "free")) {
       assertEquals(0, schedule.limited.getOrDefault(name, 0), name);
       int ran = schedule.runs.get(name).size();
@@ -291,7 +292,8 @@
     }
     int hotRan = schedule.runs.get("hot").size();
     double seconds = STEPS * STEP_MILLIS / 1e3;
-    assertTrue(hotRan > 30 * seconds * 0.9, "a hot tenant gets what its limit allows: " + hotRan);
+    assertTrue(
+        hotRan > 30 * seconds * 0.9, "the hot tenant gets less than its limit allows: " + hotRan);
     assertTrue(schedule.limited.get("hot") > 0);
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/ForwardingStore.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/ForwardingStore.java
@@ -7,11 +7,11 @@
 import org.baykeel.gateway.storage.Transaction;
 import org.baykeel.gateway.storage.TransactionOutcome;
 
-/** Passes all calls on to another store; what is to differ is overridden. */
+/** Forwards all calls to another store; subclasses override the calls that differ. */
 public class ForwardingStore implements DurableStore {
   private final DurableStore store;
 
-  /** Creates a store in front of another. */
+  /** Creates a store in front of another one. */
   protected ForwardingStore(DurableStore store) {
     this.store = store;
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/RecordedBytes.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/RecordedBytes.java
@@ -16,7 +16,8 @@
 import org.baykeel.protocol.generated.MessageHeaderDecoder;
 
 /**
- * Bytes that the build in production wrote, from the files below the resource folder production.
+ * Bytes that the version in production has written, from the files in the resource folder {@code
+ * production}.
  */
 public final class RecordedBytes {
   private static final int HEADER_BYTES = MessageHeaderDecoder.ENCODED_LENGTH;
@@ -26,7 +27,7 @@
 
   private final Map<String, byte[]> byName = new LinkedHashMap<>();
 
-  /** Reads a file: a name and hexadecimal digits in each line. */
+  /** Reads a file in which each line has a name and hexadecimal digits. */
   public RecordedBytes(String file) {
     try (InputStream in = RecordedBytes.class.getResourceAsStream("/production/" + file)) {
       String text = new String(in.readAllBytes(), StandardCharsets.US_ASCII);
@@ -39,12 +40,12 @@
     }
   }
 
-  /** All that was recorded, in the order of the file. */
+  /** Returns all recorded messages, in the order of the file. */
   public Map<String, byte[]> all() {
     return byName;
   }
 
-  /** What was recorded under a name. */
+  /** Returns the message recorded under a name. */
   public byte[] named(String name) {
     return byName.get(name);
   }
@@ -58,8 +59,8 @@
   }
 
   /**
-   * Asserts that a reader of the recorded version finds in a message what it looks for: it goes by
-   * the identifiers and the length of the block in the header, and reads the fields that it knows.
+   * Asserts that a reader of the recorded version can read a message. Such a reader uses the
+   * identifiers and the block length in the header, and reads the fields of its own version.
    */
   public static void assertReadable(byte[] recorded, byte[] written) {
     assertEquals(number(recorded, TEMPLATE_OFFSET), number(written, TEMPLATE_OFFSET));
@@ -67,7 +68,8 @@
     assertTrue(number(recorded, VERSION_OFFSET) <= number(written, VERSION_OFFSET), "version");
     int known = number(recorded, 0);
     int present = number(written, 0);
-    assertTrue(known <= present, "a block of " + present + " bytes, of " + known + " before");
+    assertTrue(
+        known <= present, "block of " + present + " bytes, recorded with " + known + " bytes");
     assertArrayEquals(block(recorded, known), block(written, known));
     assertArrayEquals(afterBlock(recorded, known), afterBlock(written, present));
   }
@@ -80,7 +82,7 @@
     return Arrays.copyOfRange(message, HEADER_BYTES + blockLength, message.length);
   }
 
-  /** A message as a later version would write it that has more fields in its block. */
+  /** Returns a message as a later version with more fields in its block would write it. */
   public static byte[] withLaterFields(byte[] message, int bytes) {
     int blockEnd = HEADER_BYTES + number(message, 0);
     byte[] later = new byte[message.length + bytes];
@@ -92,7 +94,7 @@
     return later;
   }
 
-  /** The same bytes under an identifier that no version has. */
+  /** Returns the same bytes under a template identifier that no version has. */
   public static byte[] withUnknownTemplate(byte[] message) {
     byte[] unknown = message.clone();
     put(unknown, TEMPLATE_OFFSET, 9_999);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/ScriptedEngine.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/ScriptedEngine.java
@@ -11,16 +11,16 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An engine on loopback that answers each request with scripted bytes. */
+/** An engine on loopback that responds to each request with scripted bytes. */
 public final class ScriptedEngine implements AutoCloseable {
-  /** How a connection goes on after an answer. */
+  /** The state of a connection after a response. */
   public enum After {
     KEEP,
     CLOSE,
     RESET
   }
 
-  /** The bytes of one answer. */
+  /** The bytes of one response and the state of the connection after it. */
   public record Response(String bytes, After after) {}
 
   private final ServerSocket listener;
@@ -47,12 +47,12 @@
     return listener.getLocalPort();
   }
 
-  /** How many connections were opened. */
+  /** Returns how many connections were opened. */
   public int connections() {
     return connections.get();
   }
 
-  /** Waits until as many connections are open. */
+  /** Waits until the given number of connections is open. */
   public void awaitOpen(int count) throws InterruptedException {
     long end = System.nanoTime() + 10_000_000_000L;
     while (open.get() != count) {
@@ -63,12 +63,12 @@
     }
   }
 
-  /** How many connections are open now, as far as this side has noticed. */
+  /** Returns how many connections are open now, as far as this side has noticed. */
   public int open() {
     return open.get();
   }
 
-  /** The heads of the requests, in order of arrival. */
+  /** Returns the heads of the requests, in order of arrival. */
   public List<String> requests() {
     return requests;
   }
@@ -108,13 +108,13 @@
         }
       }
     } catch (IOException | InterruptedException e) {
-      // The connection is over.
+      // The connection has ended.
     } finally {
       open.decrementAndGet();
     }
   }
 
-  /** Reads to the end of a request's head and of the body that its length announces. */
+  /** Reads a request's head and the body whose length it gives; returns the head. */
   private static String readHead(InputStream in) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     while (true) {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/SilencingProxy.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/SilencingProxy.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Passes connections on to a server on loopback. Those that are open when it is told so fall silent
- * for good, without being closed; later ones work.
+ * Forwards connections to a server on loopback. {@link #silence} stops all data on the connections
+ * that are open at that time, for good and without closing them; later connections work.
  */
 public final class SilencingProxy implements AutoCloseable {
   private static final int BUFFER_BYTES = 16_384;
@@ -33,12 +33,12 @@
     return listener.getLocalPort();
   }
 
-  /** How many connections were opened. */
+  /** Returns how many connections were opened. */
   public int connections() {
     return connections.get();
   }
 
-  /** All connections that are open now say nothing more. */
+  /** Stops all data on the connections that are open now. */
   public void silence() {
     silentUpTo.set(connections.get());
   }
@@ -79,7 +79,7 @@
         to.close();
       }
     } catch (IOException e) {
-      // One of the two is gone.
+      // One of the two connections is closed.
     }
   }
 
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingEventLoop.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingEventLoop.java
@@ -4,14 +4,17 @@
 import java.util.PriorityQueue;
 import org.baykeel.gateway.runtime.EventLoop;
 
-/** Virtual time: tasks run in order of their due time when the test lets time pass. */
+/**
+ * An event loop in virtual time: tasks run in order of their due time when the test advances the
+ * time.
+ */
 public final class TestingEventLoop implements EventLoop {
   private final PriorityQueue<Task> tasks =
       new PriorityQueue<>(Comparator.comparingLong(Task::dueNanos).thenComparingLong(Task::order));
   private long nowNanos = 1_000_000_000L;
   private long order;
 
-  /** A task and when it is due. */
+  /** A task and its due time. */
   private static final class Task implements Timer {
     private final long dueNanos;
     private final long order;
@@ -50,7 +53,7 @@
     return scheduled;
   }
 
-  /** Lets time pass and runs what comes due. */
+  /** Advances the time and runs the tasks that come due. */
   public void advance(long millis) {
     long end = nowNanos + millis * 1_000_000;
     while (!tasks.isEmpty() && tasks.peek().dueNanos <= end) {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingHandover.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingHandover.java
@@ -17,8 +17,8 @@
 import org.baykeel.gateway.runtime.EventLoop;
 
 /**
- * Hands programs over between nodes in memory and virtual time. Some requests find nobody, some
- * answers are lost after the tokens were given up, and some come late.
+ * Hands programs over between nodes in memory and virtual time. Some requests find no holder, some
+ * responses are lost after the tokens were released, and some arrive late.
  */
 public final class TestingHandover {
   private static final long ONE_WAY_MILLIS = 3;
@@ -31,30 +31,30 @@
   private final Map<ProgramId, Node> holders = new HashMap<>();
   private int transfers;
 
-  /** Creates a handover between nodes that have yet to join. */
+  /** Creates a handover between nodes that are added later. */
   public TestingHandover(EventLoop eventLoop, Random random) {
     this.eventLoop = eventLoop;
     this.random = random;
   }
 
-  /** Transfers of grants so far. */
+  /** Returns the number of grant transfers so far. */
   public int transfers() {
     return transfers;
   }
 
-  /** One node's side. */
+  /** The handover of one node. */
   public final class Node implements GrantSource, TurnSource {
     private ProgramBudgets budgets;
     private TurnHistory history;
     private boolean left;
 
-    /** Sets what this node gives to others. */
+    /** Sets the budgets and the history that this node transfers to others. */
     public void serve(ProgramBudgets newBudgets, TurnHistory newHistory) {
       budgets = newBudgets;
       history = newHistory;
     }
 
-    /** This node answers nobody any more. */
+    /** Stops all responses of this node. */
     public void leave() {
       left = true;
     }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingLoadReportClient.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingLoadReportClient.java
@@ -14,7 +14,7 @@
 import org.baykeel.gateway.load.LoadReportClient;
 import org.baykeel.gateway.runtime.EventLoop;
 
-/** Engines that tell their load in memory and virtual time, as the test sets it. */
+/** Engines that report their load in memory and virtual time, as the test sets it. */
 public final class TestingLoadReportClient {
   private static final long ONE_WAY_MILLIS = 2;
   private static final long TIMEOUT_MILLIS = 100;
@@ -24,39 +24,39 @@
   private final Set<String> unresponsive = new HashSet<>();
   private final List<Query> queries = new ArrayList<>();
 
-  /** A node asked an engine. */
+  /** A query of a node to an engine. */
   public record Query(String node, String engine, long nanos) {}
 
   public TestingLoadReportClient(EventLoop eventLoop) {
     this.eventLoop = eventLoop;
   }
 
-  /** Sets what an engine tells; one that was never set has no reports. */
+  /** Sets the report of an engine; an engine without one provides no reports. */
   public void set(String engine, LoadReport report) {
     reports.put(engine, report);
   }
 
-  /** Sets the load of an engine that does not say when it was born. */
+  /** Sets the load of an engine whose report does not contain its start time. */
   public void set(String engine, EngineLoad load) {
     set(engine, new LoadReport(load, 0));
   }
 
-  /** What an engine would tell now. */
+  /** Returns the load that an engine would report now. */
   public EngineLoad loadOf(String engine) {
     return reports.get(engine).load();
   }
 
-  /** Lets an engine answer nobody. */
+  /** Stops all responses of an engine. */
   public void silence(String engine) {
     unresponsive.add(engine);
   }
 
-  /** All questions so far. */
+  /** Returns all queries so far. */
   public List<Query> queries() {
     return queries;
   }
 
-  /** The questions of a node. */
+  /** Returns the load reports as a node queries them. */
   public LoadReportClient of(String node) {
     return (engine, answer) -> query(node, engine, answer);
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingPeerNetwork.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingPeerNetwork.java
@@ -10,8 +10,8 @@
 import org.baykeel.gateway.runtime.EventLoop;
 
 /**
- * Datagrams between nodes in memory and virtual time; none is lost unless its receiver is gone or
- * the test says so.
+ * Delivers datagrams between nodes in memory and virtual time; none is lost unless its receiver is
+ * gone or the test requests it.
  */
 public final class TestingPeerNetwork {
   private static final long ONE_WAY_MILLIS = 2;
@@ -28,12 +28,12 @@
     this.eventLoop = eventLoop;
   }
 
-  /** Delivers what is sent to an address. */
+  /** Attaches the receiver of an address. */
   public void attach(PeerAddress address, PeerTransport.Receiver receiver) {
     receivers.put(address, receiver);
   }
 
-  /** Cuts or mends the way from one address to another; the way back is another one. */
+  /** Cuts or restores the path from one address to another; the opposite direction is separate. */
   public void cut(PeerAddress from, PeerAddress to, boolean cut) {
     if (cut) {
       cutPaths.add(from + " " + to);
@@ -42,18 +42,18 @@
     }
   }
 
-  /** Loses a share of all datagrams, and doubles as many. */
+  /** Loses a share of all datagrams and duplicates the same share of the others. */
   public void lose(double share, Random newRandom) {
     lossShare = share;
     random = newRandom;
   }
 
-  /** Drops what is sent to an address from now on. */
+  /** Drops all datagrams to an address from now on. */
   public void detach(PeerAddress address) {
     receivers.remove(address);
   }
 
-  /** The transport of the node at an address. */
+  /** Returns the transport of the node at an address. */
   public PeerTransport transportOf(PeerAddress sender) {
     return (receiver, datagram) -> {
       sentBytes += datagram.length;
@@ -74,7 +74,7 @@
     }
   }
 
-  /** Bytes of all datagrams sent so far, without the overhead of a link. */
+  /** Returns the bytes of all datagrams sent so far, without the overhead of a link. */
   public long sentBytes() {
     return sentBytes;
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingResponder.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingResponder.java
@@ -9,18 +9,18 @@
 import org.baykeel.gateway.call.Refusal;
 import org.baykeel.gateway.call.ResponseHead;
 
-/** Notes what a caller gets. */
+/** Records the responses that a caller receives. */
 public final class TestingResponder implements CallResponder {
   private final List<String> received = new ArrayList<>();
   private final CallerFlow flow;
   private Refusal refusal;
 
-  /** A caller that reads all that it gets. */
+  /** Creates a responder for a caller that reads everything at once. */
   public TestingResponder() {
     this(new HeldBytesLimiter(HeldBytesLimiter.Bounds.DEFAULT, new TestingEventLoop()));
   }
 
-  /** A caller for which is held what the test says. */
+  /** Creates a responder for a caller whose unread bytes are accounted in {@code held}. */
   public TestingResponder(HeldBytesLimiter held) {
     flow = held.open((bytes, nodeBytes, unreadMillis) -> received.add("too slow"));
   }
@@ -30,12 +30,12 @@
     return flow;
   }
 
-  /** All that was heard, in order. */
+  /** Returns all that was received, in order. */
   public List<String> received() {
     return received;
   }
 
-  /** The refusal, or null. */
+  /** Returns the refusal, or null. */
   public Refusal refusal() {
     return refusal;
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingStore.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingStore.java
@@ -15,19 +15,22 @@
 import org.baykeel.gateway.storage.Transaction;
 import org.baykeel.gateway.storage.TransactionOutcome;
 
-/** The table service in memory and virtual time, with its faults. */
+/** A store in memory and virtual time, with the faults of the table service. */
 public final class TestingStore implements DurableStore {
   private static final long RESPONSE_MILLIS = 5;
   private static final long LOST_MILLIS = 1_000;
 
-  /** What happens to the next transactions. */
+  /** The fault that applies to the next transactions. */
   public enum Fault {
     NONE,
-    /** Refused; nothing is done. */
+    /** The transaction is refused and not applied. */
     REFUSE,
-    /** Done, but not answered. */
+    /** The transaction is applied, but its response is lost. */
     LOSE_RESPONSE,
-    /** Not answered, and done three seconds later if its conditions still hold. */
+    /**
+     * The response is lost, and the transaction is applied three seconds later if its conditions
+     * still hold.
+     */
     APPLY_LATE
   }
 
@@ -55,12 +58,12 @@
     fault = newFault;
   }
 
-  /** Makes reads and watches fail, or work again. */
+  /** Makes reads and watches fail or succeed. */
   public void failReads(boolean fail) {
     readsFail = fail;
   }
 
-  /** Answers reads from the present state until told otherwise, however rows change. */
+  /** Freezes the state that reads return, whatever rows change later, or unfreezes it. */
   public void freezeReads(boolean freeze) {
     oldRows = freeze ? new TreeMap<>(rows) : null;
   }
@@ -169,19 +172,19 @@
         RESPONSE_MILLIS);
   }
 
-  /** Writes a row as the operator would, whatever happens to the nodes' transactions. */
+  /** Writes a row as the operator would, independent of the faults of transactions. */
   public void put(RowAddress address, byte[] value) {
     version++;
     rows.put(key(address), new StoredRow(address, value, version));
   }
 
-  /** Lets the feed tell nothing of the changes that are made from now on, for a while. */
+  /** Suppresses, for a while, all changes in the feed that are made from now on. */
   public void suppressFeed(long millis) {
     feedSuppressedUntilNanos = eventLoop.nanoTime() + millis * 1_000_000;
     feedSuppressedAfterVersion = version;
   }
 
-  /** The value of a row, or null. */
+  /** Returns the value of a row, or null. */
   public byte[] value(RowAddress address) {
     StoredRow row = rows.get(key(address));
     return row == null ? null : row.value();
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingTenancy.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingTenancy.java
@@ -12,31 +12,31 @@
 import org.baykeel.gateway.tenancy.TenantDirectory;
 import org.baykeel.gateway.tenancy.TenantId;
 
-/** Tenants and keys for tests. */
+/** Creates tenants and keys for tests. */
 public final class TestingTenancy {
-  /** Bounds of the tests: keys are accepted for 3,900 ms after the last proof. */
+  /** The bounds of the tests: keys are accepted for 3,900 ms after the last proof. */
   public static final KeyAuthenticator.Bounds BOUNDS = KeyAuthenticator.Bounds.of(5_000, 3_000);
 
   private TestingTenancy() {}
 
-  /** An authenticator for a deployment without tenants. */
+  /** Returns an authenticator for a deployment without tenants. */
   public static KeyAuthenticator withoutKeys(EventLoop eventLoop) {
     return authenticator(() -> TenantDirectory.NONE, new ConfigurationFreshness(eventLoop));
   }
 
-  /** An authenticator with the bounds of the tests. */
+  /** Returns an authenticator with the bounds of the tests. */
   public static KeyAuthenticator authenticator(
       Supplier<TenantDirectory> directory, ConfigurationFreshness freshness) {
     return new KeyAuthenticator(directory, freshness, BOUNDS);
   }
 
-  /** A tenant with a limit. */
+  /** Returns a tenant with a limit. */
   public static Tenant tenant(String name, double requestsPerSecond, double burst) {
     return new Tenant(
         new TenantId(name), OptionalInt.empty(), new RateLimit(requestsPerSecond, burst));
   }
 
-  /** Tenants without limits, each with the key "key-NAME". */
+  /** Returns tenants without limits, each with the key "key-NAME". */
   public static TenantDirectory tenants(String... names) {
     TenantDirectory.Builder builder = new TenantDirectory.Builder();
     for (String name : names) {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingTranslator.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingTranslator.java
@@ -13,11 +13,11 @@
 import org.baykeel.gateway.http.CallTranslator;
 import org.baykeel.gateway.http.HopByHopHeaders;
 
-/** Header fields of a made-up deployment. */
+/** Translates the header fields of a fictitious deployment. */
 public final class TestingTranslator implements CallTranslator {
   public static final String ID = "X-Id";
 
-  /** Attributes of a request that carries nothing but its identifier. */
+  /** Returns the attributes of a request that carries only its identifier. */
   public static CallAttributes attributesOf(String id) {
     return new CallAttributes(id, -1, -1, null, null, -1, -1, List.of(), null, -1, null, null);
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingTransport.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingTransport.java
@@ -10,7 +10,7 @@
 import org.baykeel.gateway.call.ResponseTraits;
 import org.baykeel.gateway.directory.Engine;
 
-/** Notes what is sent to engines and lets the test answer. */
+/** Records the requests to engines and lets the test respond. */
 public final class TestingTransport implements EngineTransport {
   private final List<Sent> sent = new ArrayList<>();
 
@@ -59,24 +59,24 @@
       paused = false;
     }
 
-    /** Whether the answer is not read at the moment. */
+    /** Returns whether reading of the response is paused. */
     public boolean paused() {
       return paused;
     }
 
-    /** Answers with a head. */
+    /** Responds with a head. */
     public Sent head(int status, boolean signed, boolean eventStream, boolean notExecuted) {
       ResponseTraits traits = new ResponseTraits("r", notExecuted, signed, eventStream);
       listener.onHead(new ResponseHead(status, new DefaultHttpHeaders(), traits));
       return this;
     }
 
-    /** Begins a signed stream. */
+    /** Starts a signed stream. */
     public Sent stream() {
       return head(200, true, true, false);
     }
 
-    /** Sends a whole event. */
+    /** Sends a complete event. */
     public Sent event(int id) {
       return bytes("id: " + id + "\ndata: d" + id + "\n\n");
     }
@@ -98,7 +98,7 @@
       listener.onFailure(Failure.NOT_SENT, "refused");
     }
 
-    /** States that the engine did not run the request. */
+    /** Responds that the engine did not run the request. */
     public void notExecuted() {
       head(503, false, false, true);
     }
