--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/history/StoredTurnCodec.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/history/StoredTurnCodec.java
@@ -10,14 +10,17 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** A kept turn as one or more values of bounded size, the first of which tells their number. */
+/**
+ * Encodes a stored turn as one or more values of bounded size; the first value contains their
+ * number.
+ */
 public final class StoredTurnCodec {
   private static final byte FORMAT = 1;
 
   private StoredTurnCodec() {}
 
   /**
-   * A turn without its identifier, as one value.
+   * Encodes a turn without its identifier as one value.
    *
    * @param turn the turn
    */
@@ -39,9 +42,9 @@
   }
 
   /**
-   * Reads what {@link #encodeWhole} has written.
+   * Decodes a value written by {@link #encodeWhole}.
    *
-   * @throws IllegalArgumentException if the bytes are none of that
+   * @throws IllegalArgumentException if the bytes are not such a value
    */
   public static StoredTurn decodeWhole(String id, byte[] value) {
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(value))) {
@@ -54,17 +57,19 @@
       byte[] output = in.readNBytes(in.readInt());
       return new StoredTurn(id, ancestors, input, output);
     } catch (IOException e) {
-      throw new IllegalArgumentException("not a kept turn: " + value.length + " bytes", e);
+      throw new IllegalArgumentException("invalid stored turn of " + value.length + " bytes", e);
     }
   }
 
   static List<byte[]> encode(StoredTurn turn, int maxValueBytes) {
     byte[] body = encodeWhole(turn);
-    int room = maxValueBytes - 2;
-    int pieces = Math.max(1, (body.length + room - 1) / room);
+    int maxPieceBytes = maxValueBytes - 2;
+    int pieces = Math.max(1, (body.length + maxPieceBytes - 1) / maxPieceBytes);
     List<byte[]> values = new ArrayList<>(pieces);
     for (int i = 0; i < pieces; i++) {
-      byte[] part = Arrays.copyOfRange(body, i * room, Math.min(body.length, (i + 1) * room));
+      byte[] part =
+          Arrays.copyOfRange(
+              body, i * maxPieceBytes, Math.min(body.length, (i + 1) * maxPieceBytes));
       byte[] value = new byte[part.length + 2];
       value[0] = FORMAT;
       value[1] = (byte) pieces;
@@ -74,9 +79,9 @@
     return values;
   }
 
-  static int pieces(byte[] firstValue) {
+  static int pieceCount(byte[] firstValue) {
     if (firstValue.length < 2 || firstValue[0] != FORMAT) {
-      throw new IllegalArgumentException("not a kept turn: " + firstValue.length + " bytes");
+      throw new IllegalArgumentException("invalid stored turn of " + firstValue.length + " bytes");
     }
     return firstValue[1] & 0xFF;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/SharedRequestLimiter.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/SharedRequestLimiter.java
@@ -21,34 +21,40 @@
 import org.baykeel.gateway.tenancy.TenantId;
 
 /**
- * Gets a token for each request of a tenant with a limit: from a slice in hand, from its own bucket
- * if this node holds the tenant's partition, else from the node that does.
+ * Obtains a token for each request of a tenant with a limit: from a slice that this node has, from
+ * this node's own bucket if it holds the tenant's partition, otherwise from the node that holds it.
  *
- * <p>Invariant: a token is used at this node only until {@link LimitBounds#holdMillis} after the
- * first question for it was sent, so it was given at most that long before, whatever delayed the
- * answer.
+ * <p>Invariant: a token is used on this node only until {@link LimitBounds#holdMillis} after the
+ * first query for it was sent, so it was granted at most that long before its use, however long the
+ * reply was delayed.
  */
 public final class SharedRequestLimiter implements RequestLimiter, PeerMessageListener {
-  /** A little work at a slow node; what the way there and back takes comes on top. */
+  /**
+   * The base delay until a query is sent again: the processing time of a slow node. The round trip
+   * to the holder is added.
+   */
   private static final long FIRST_RETRY_MILLIS = 30;
 
-  /** Between two tries while nobody holds the partition. */
+  /** The delay between attempts while no node holds the partition. */
   private static final long NO_HOLDER_RETRY_MILLIS = 20;
 
-  /** Silent tries after which the rows of the leases are read again. */
-  private static final int TRIES_UNTIL_LOOK = 2;
+  /** The number of unanswered attempts after which the lease rows are read again. */
+  private static final int ATTEMPTS_BEFORE_REREAD = 2;
 
-  /** The part of the time for which tokens may be kept that a slice should last. */
-  private static final double SLICE_PART_OF_HOLD = 0.5;
+  /** The fraction of the hold time for which a slice should last. */
+  private static final double SLICE_FRACTION_OF_HOLD = 0.5;
 
-  /** More tokens are never given in one answer. */
+  /** The most tokens in one reply. */
   private static final int MAX_SLICE = 64;
 
-  /** Answers that are kept so that a question that is doubled gets the same one. */
-  private static final int MAX_ANSWERS = 512;
+  /**
+   * The number of sent replies that are retained, so that a duplicated query receives the same
+   * reply.
+   */
+  private static final int MAX_SENT_REPLIES = 512;
 
   /** The span over which this node's own demand is averaged. */
-  private static final double DEMAND_NANOS = 1e9;
+  private static final double DEMAND_AVERAGING_NANOS = 1e9;
 
   private final PartitionLeases leases;
   private final PeerTransport transport;
@@ -57,65 +63,70 @@
   private final LimitBounds bounds;
   private final Function<TenantId, Optional<Tenant>> tenants;
   private final ProofExchange proofs;
-  private final PeerLatency distance;
+  private final PeerLatency peerLatency;
   private final GatewayMetrics metrics;
   private final Map<LimitPartition, HeldBuckets> buckets = new HashMap<>();
-  private final Map<TenantId, OwnUse> ownUse = new HashMap<>();
-  private final Map<Long, Question> questions = new HashMap<>();
-  private final Map<Asked, PeerMessage.LimitTokenReply> answers =
+  private final Map<TenantId, LocalDemand> localDemands = new HashMap<>();
+  private final Map<Long, TokenQuery> queries = new HashMap<>();
+  private final Map<QueryKey, PeerMessage.LimitTokenReply> sentReplies =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Asked, PeerMessage.LimitTokenReply> eldest) {
-          return size() > MAX_ANSWERS;
+        protected boolean removeEldestEntry(
+            Map.Entry<QueryKey, PeerMessage.LimitTokenReply> eldest) {
+          return size() > MAX_SENT_REPLIES;
         }
       };
-  private long lastQuestionId;
+  private long lastCorrelationId;
   private boolean started;
 
-  /** A question of another node. */
-  private record Asked(PeerAddress sender, long questionId) {
+  /** Identifies a query of another node. */
+  private record QueryKey(PeerAddress sender, long correlationId) {
     @Override
     public boolean equals(Object other) {
-      return other instanceof Asked asked
-          && questionId == asked.questionId
-          && sender.equals(asked.sender);
+      return other instanceof QueryKey queryKey
+          && correlationId == queryKey.correlationId
+          && sender.equals(queryKey.sender);
     }
 
     @Override
     public int hashCode() {
-      return Long.hashCode(questionId) ^ sender.hashCode();
+      return Long.hashCode(correlationId) ^ sender.hashCode();
     }
   }
 
-  /** What this node itself uses of a tenant's limit. */
-  private static final class OwnUse {
+  /** This node's own demand for the tokens of a tenant, and the slice that it has. */
+  private static final class LocalDemand {
     private final TokenSlice slice = new TokenSlice();
     private double demand;
-    private long askedNanos;
-
-    /** Notes a request and returns how many came lately, in one span of averaging. */
-    double asked(long nowNanos) {
-      demand = demand * Math.exp(-(nowNanos - askedNanos) / DEMAND_NANOS) + 1;
-      askedNanos = nowNanos;
+    private long updatedNanos;
+
+    /**
+     * Records a request and returns the decayed number of requests, about those of the last
+     * averaging span.
+     */
+    double recordRequest(long nowNanos) {
+      demand = demand * Math.exp(-(nowNanos - updatedNanos) / DEMAND_AVERAGING_NANOS) + 1;
+      updatedNanos = nowNanos;
       return demand;
     }
   }
 
-  /** Buckets and the tenure under which they were begun. */
+  /** The buckets of a partition and the tenure under which they were created. */
   private record HeldBuckets(PartitionLeases.Tenure tenure, PartitionBuckets buckets) {}
 
   /**
    * Creates a limiter.
    *
-   * @param leases who holds which partition
-   * @param transport the way to the other nodes
-   * @param bounds how exactly limits are kept
-   * @param tenants the tenants of the configuration in force
-   * @param proofs what proves the configuration; answers carry it along
-   * @param distance how far the holders are
-   * @param firstQuestionId a random number, so that no question is like one of an earlier life
+   * @param leases the leases of all partitions
+   * @param transport sends datagrams to the other nodes
+   * @param bounds the accuracy with which limits are enforced
+   * @param tenants finds the tenants of the active configuration
+   * @param proofs the proofs of the configuration, which replies carry
+   * @param peerLatency the round trips to the holders
+   * @param firstCorrelationId a random number, so that no query has the id of one from an earlier
+   *     incarnation
    */
   @SuppressWarnings("ParameterNumber")
   public SharedRequestLimiter(
@@ -126,8 +137,8 @@
       LimitBounds bounds,
       Function<TenantId, Optional<Tenant>> tenants,
       ProofExchange proofs,
-      PeerLatency distance,
-      long firstQuestionId,
+      PeerLatency peerLatency,
+      long firstCorrelationId,
       GatewayMetrics metrics) {
     this.leases = leases;
     this.transport = transport;
@@ -135,15 +146,15 @@
     this.eventLoop = eventLoop;
     this.bounds = bounds;
     this.tenants = tenants;
-    this.lastQuestionId = firstQuestionId;
+    this.lastCorrelationId = firstCorrelationId;
     this.proofs = proofs;
-    this.distance = distance;
+    this.peerLatency = peerLatency;
     this.metrics = metrics;
   }
 
   /**
-   * Begins to take part in holding buckets, if it has not yet. It costs calls to the store, so it
-   * is done only where a tenant has a limit.
+   * Starts to take part in holding buckets, unless that has happened already. This costs calls to
+   * the store, so it happens only if some tenant has a limit.
    */
   public void start() {
     if (!started) {
@@ -152,23 +163,23 @@
     }
   }
 
-  /** Gives back what this node holds, for a planned stop. */
+  /** Releases the leases of this node, for a planned stop. */
   public void stop() {
     leases.stop();
   }
 
-  /** The store answers again after a time without. */
+  /** Called when the store is reachable again after an outage; renews the leases of this node. */
   public void onStoreReachable() {
     leases.renewAll();
   }
 
-  /** How many partitions this node holds. */
+  /** Returns the number of partitions that this node holds. */
   public int partitionsHeld() {
     return leases.held();
   }
 
   @Override
-  public void decide(LimitedRequest request, long patienceMillis, Consumer<Decision> answer) {
+  public void decide(LimitedRequest request, long timeoutMillis, Consumer<Decision> answer) {
     Tenant tenant = request.tenant();
     if (tenant.limit().unlimited()) {
       answer.accept(new Decision.Allowed());
@@ -176,20 +187,20 @@
     }
     start();
     long now = eventLoop.nanoTime();
-    OwnUse use = ownUse.computeIfAbsent(tenant.id(), id -> new OwnUse());
-    double demand = use.asked(now);
-    if (use.slice.take(request.kind(), now)) {
+    LocalDemand localDemand = localDemands.computeIfAbsent(tenant.id(), id -> new LocalDemand());
+    double demand = localDemand.recordRequest(now);
+    if (localDemand.slice.take(request.kind(), now)) {
       metrics.limitCounted(LimitFigure.FROM_SLICE, 1);
-      answer.accept(new Decision.Allowed(use.slice.use()));
+      answer.accept(new Decision.Allowed(localDemand.slice.use()));
       return;
     }
-    double ahead = demand * (bounds.holdMillis() / 1e3) * SLICE_PART_OF_HOLD;
+    double ahead = demand * (bounds.holdMillis() / 1e3) * SLICE_FRACTION_OF_HOLD;
     int wanted = (int) Math.min(MAX_SLICE, 1 + ahead);
-    new Question(++lastQuestionId, request, wanted, patienceMillis, answer).proceed();
+    new TokenQuery(++lastCorrelationId, request, wanted, timeoutMillis, answer).proceed();
   }
 
-  /** Decides from this node's own bucket; nothing if it does not hold the partition. */
-  private Optional<TokenDecision> decideHere(
+  /** Decides with this node's own bucket; empty if this node does not hold the partition. */
+  private Optional<TokenDecision> decideLocally(
       Tenant tenant, RequestKind kind, int programHash, int wanted) {
     LimitPartition partition = LimitPartition.of(tenant.id());
     return leases
@@ -201,10 +212,10 @@
   private PartitionBuckets bucketsOf(LimitPartition partition, PartitionLeases.Tenure tenure) {
     HeldBuckets held = buckets.get(partition);
     if (held == null || held.tenure() != tenure) {
-      double firstTokens = tenure.first() ? Double.MAX_VALUE : bounds.takeoverTokens();
+      double initialTokens = tenure.first() ? Double.MAX_VALUE : bounds.takeoverTokens();
       held =
           new HeldBuckets(
-              tenure, new PartitionBuckets(bounds.extraTokens(), firstTokens, !tenure.first()));
+              tenure, new PartitionBuckets(bounds.extraTokens(), initialTokens, !tenure.first()));
       buckets.put(partition, held);
     }
     return held.buckets();
@@ -215,42 +226,42 @@
     if (message instanceof PeerMessage.LimitTokenRequest request) {
       reply(sender, request);
     } else if (message instanceof PeerMessage.LimitTokenReply reply) {
-      Question question = questions.get(reply.correlationId());
-      if (question != null) {
-        question.onReply(sender, reply);
+      TokenQuery query = queries.get(reply.correlationId());
+      if (query != null) {
+        query.onReply(sender, reply);
       }
     }
   }
 
   private void reply(PeerAddress sender, PeerMessage.LimitTokenRequest request) {
-    Asked asked = new Asked(sender, request.correlationId());
-    PeerMessage.LimitTokenReply reply = answers.get(asked);
+    QueryKey queryKey = new QueryKey(sender, request.correlationId());
+    PeerMessage.LimitTokenReply reply = sentReplies.get(queryKey);
     if (reply == null) {
-      reply = answerTo(request);
+      reply = replyTo(request);
       if (reply.outcome() == LimitTokenOutcome.GIVEN) {
-        answers.put(asked, reply);
+        sentReplies.put(queryKey, reply);
       }
     }
     transport.send(sender, codec.encode(reply.withProof(proofs.own())));
   }
 
-  private PeerMessage.LimitTokenReply answerTo(PeerMessage.LimitTokenRequest request) {
+  private PeerMessage.LimitTokenReply replyTo(PeerMessage.LimitTokenRequest request) {
     Tenant tenant = tenants.apply(request.tenant()).orElse(null);
     if (tenant == null || tenant.limit().unlimited()) {
-      // Another configuration is in force there; it will not be so for long.
+      // The other node has a different configuration, which is a short-lived state.
       return PeerMessage.LimitTokenReply.notHeld(request.correlationId());
     }
     int wanted = Math.max(1, Math.min(MAX_SLICE, request.wanted()));
     RequestKind kind = request.firstTurn() ? RequestKind.FIRST_TURN : RequestKind.CONTINUING;
-    return decideHere(tenant, kind, request.programHash(), wanted)
+    return decideLocally(tenant, kind, request.programHash(), wanted)
         .map(decision -> replyOf(request.correlationId(), decision))
         .orElseGet(() -> PeerMessage.LimitTokenReply.notHeld(request.correlationId()));
   }
 
-  private PeerMessage.LimitTokenReply replyOf(long questionId, TokenDecision decision) {
+  private PeerMessage.LimitTokenReply replyOf(long correlationId, TokenDecision decision) {
     metrics.limitCounted(LimitFigure.GIVEN_TO_NODES, decision.tokens());
     return new PeerMessage.LimitTokenReply(
-        questionId,
+        correlationId,
         decision.tokens() > 0 ? LimitTokenOutcome.GIVEN : LimitTokenOutcome.REFUSED,
         decision.tokens(),
         decision.firstTurnsAllowed(),
@@ -261,38 +272,38 @@
   }
 
   /** A request that waits for a token. */
-  private final class Question {
+  private final class TokenQuery {
     private final long id;
     private final LimitedRequest request;
     private final LimitPartition partition;
     private final int wanted;
     private final Consumer<Decision> answer;
     private final long endNanos;
-    private PeerAddress asked;
+    private PeerAddress queriedHolder;
     private long firstSentNanos;
-    private int tries;
+    private int attempts;
     private EventLoop.Timer retry;
 
-    Question(
+    TokenQuery(
         long id,
         LimitedRequest request,
         int wanted,
-        long patienceMillis,
+        long timeoutMillis,
         Consumer<Decision> answer) {
       this.id = id;
       this.request = request;
       this.partition = LimitPartition.of(request.tenant().id());
       this.wanted = wanted;
       this.answer = answer;
-      this.endNanos = eventLoop.nanoTime() + patienceMillis * 1_000_000;
+      this.endNanos = eventLoop.nanoTime() + timeoutMillis * 1_000_000;
     }
 
     void proceed() {
-      Optional<TokenDecision> here =
-          decideHere(request.tenant(), request.kind(), request.programHash(), 1);
-      if (here.isPresent()) {
-        metrics.limitCounted(LimitFigure.FROM_OWN_BUCKET, here.get().tokens());
-        onDecision(here.get());
+      Optional<TokenDecision> local =
+          decideLocally(request.tenant(), request.kind(), request.programHash(), 1);
+      if (local.isPresent()) {
+        metrics.limitCounted(LimitFigure.FROM_OWN_BUCKET, local.get().tokens());
+        onDecision(local.get());
         return;
       }
       if (eventLoop.nanoTime() - endNanos >= 0) {
@@ -300,40 +311,40 @@
         end(new Decision.Undecided());
         return;
       }
-      questions.put(id, this);
+      queries.put(id, this);
       Optional<PeerAddress> holder = leases.holder(partition);
-      if (holder.isEmpty() || tries >= TRIES_UNTIL_LOOK) {
-        leases.want(partition);
+      if (holder.isEmpty() || attempts >= ATTEMPTS_BEFORE_REREAD) {
+        leases.requestLease(partition);
       }
       if (holder.isPresent()) {
-        ask(holder.get());
+        query(holder.get());
       } else {
         retryIn(NO_HOLDER_RETRY_MILLIS);
       }
     }
 
-    private void ask(PeerAddress holder) {
-      if (!holder.equals(asked)) {
-        asked = holder;
+    private void query(PeerAddress holder) {
+      if (!holder.equals(queriedHolder)) {
+        queriedHolder = holder;
         firstSentNanos = eventLoop.nanoTime();
       }
-      tries++;
-      boolean opening = request.kind() == RequestKind.FIRST_TURN;
+      attempts++;
+      boolean firstTurn = request.kind() == RequestKind.FIRST_TURN;
       transport.send(
           holder,
           codec.encode(
               new PeerMessage.LimitTokenRequest(
-                  id, wanted, opening, request.programHash(), request.tenant().id())));
-      retryIn(FIRST_RETRY_MILLIS * tries + distance.roundTripMillis(holder));
+                  id, wanted, firstTurn, request.programHash(), request.tenant().id())));
+      retryIn(FIRST_RETRY_MILLIS * attempts + peerLatency.roundTripMillis(holder));
     }
 
     private void retryIn(long millis) {
-      long left = Math.max(1, (endNanos - eventLoop.nanoTime()) / 1_000_000);
-      retry = eventLoop.schedule(Math.min(millis, left), this::proceed);
+      long remaining = Math.max(1, (endNanos - eventLoop.nanoTime()) / 1_000_000);
+      retry = eventLoop.schedule(Math.min(millis, remaining), this::proceed);
     }
 
     void onReply(PeerAddress sender, PeerMessage.LimitTokenReply reply) {
-      if (!sender.equals(asked)) {
+      if (!sender.equals(queriedHolder)) {
         return;
       }
       reply.proof().ifPresent(proofs::onProof);
@@ -355,7 +366,8 @@
         return;
       }
       if (tokens > 1) {
-        TokenSlice slice = ownUse.computeIfAbsent(request.tenant().id(), key -> new OwnUse()).slice;
+        TokenSlice slice =
+            localDemands.computeIfAbsent(request.tenant().id(), key -> new LocalDemand()).slice;
         metrics.limitCounted(
             LimitFigure.LOST,
             slice.add(tokens - 1, expires, reply.firstTurnsAllowed(), reply.use(), now));
@@ -371,7 +383,7 @@
         end(new Decision.Exceeded(Math.max(1, decision.retryMillis()), decision.remaining()));
       } else if (decision.tokens() > 0 && decision.retryMillis() > 0) {
         metrics.limitCounted(LimitFigure.WAITED, 1);
-        questions.remove(id);
+        queries.remove(id);
         cancelRetry();
         eventLoop.schedule(decision.retryMillis(), () -> end(new Decision.Allowed(decision.use())));
       } else if (decision.tokens() > 0) {
@@ -384,7 +396,7 @@
 
     private void onNotHeld() {
       retry.cancel();
-      leases.want(partition);
+      leases.requestLease(partition);
       retryIn(NO_HOLDER_RETRY_MILLIS);
     }
 
@@ -395,7 +407,7 @@
     }
 
     private void end(Decision decision) {
-      questions.remove(id);
+      queries.remove(id);
       cancelRetry();
       answer.accept(decision);
     }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedEngines.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/simulation/SimulatedEngines.java
@@ -14,50 +14,53 @@
 import org.baykeel.gateway.directory.Engine;
 import org.baykeel.gateway.testing.TestingEventLoop;
 
-/** Engines in virtual time that refuse, break off, fall silent or answer, as a seed decides. */
+/**
+ * Engines in virtual time that refuse requests, break connections, stop responding or respond, as a
+ * seeded random generator decides.
+ */
 final class SimulatedEngines implements EngineTransport {
   static final int EVENTS = 6;
   static final int ENGINES = 4;
 
-  private static final long FIRST_BORN_MILLIS = 1_000;
+  private static final long INITIAL_START_MILLIS = 1_000;
 
   private final TestingEventLoop eventLoop;
   private final Random random;
   private final Map<String, Integer> runs = new HashMap<>();
   private final Map<String, String> bodies = new HashMap<>();
-  private final Map<String, Long> bornMillis = new HashMap<>();
-  private final List<Run> underWay = new ArrayList<>();
+  private final Map<String, Long> startMillis = new HashMap<>();
+  private final List<Run> inProgress = new ArrayList<>();
 
   SimulatedEngines(TestingEventLoop eventLoop, Random random) {
     this.eventLoop = eventLoop;
     this.random = random;
   }
 
-  /** When an engine started last. */
-  long bornMillis(String engine) {
-    return bornMillis.getOrDefault(engine, FIRST_BORN_MILLIS);
+  /** Returns the time at which an engine last started. */
+  long startMillis(String engine) {
+    return startMillis.getOrDefault(engine, INITIAL_START_MILLIS);
   }
 
   /**
-   * An engine starts again under its identifier: what it ran is gone, and those who sent that hear
-   * of it soon, or never.
+   * Restarts an engine under its identifier. Its running requests are lost; their senders receive a
+   * failure soon or never.
    */
   void restart(String engine) {
-    bornMillis.put(engine, bornMillis(engine) + 1);
-    for (Run run : List.copyOf(underWay)) {
+    startMillis.put(engine, startMillis(engine) + 1);
+    for (Run run : List.copyOf(inProgress)) {
       if (run.engine.equals(engine)) {
-        underWay.remove(run);
-        run.restarted();
+        inProgress.remove(run);
+        run.onEngineRestart();
       }
     }
   }
 
-  /** How often a request began to run at any engine. */
+  /** Returns how often a request started to run, on all engines together. */
   int runs(String requestId) {
     return runs.getOrDefault(requestId, 0);
   }
 
-  /** The body with which a request ran last. */
+  /** Returns the body with which a request ran last. */
   String body(String requestId) {
     return bodies.get(requestId);
   }
@@ -68,7 +71,7 @@
     private final EngineRequest request;
     private final Listener listener;
     private boolean cancelled;
-    private boolean gone;
+    private boolean lost;
 
     Run(String engine, EngineRequest request, Listener listener) {
       this.engine = engine;
@@ -79,31 +82,31 @@
     @Override
     public void cancel() {
       cancelled = true;
-      underWay.remove(this);
+      inProgress.remove(this);
     }
 
     @Override
     public void pauseReading() {
-      throw new IllegalStateException("callers read at once");
+      throw new IllegalStateException("reading is never paused");
     }
 
     @Override
     public void resumeReading() {
-      throw new IllegalStateException("callers read at once");
+      throw new IllegalStateException("reading is never paused");
     }
 
-    private void later(long millis, Runnable step) {
+    private void schedule(long millis, Runnable step) {
       eventLoop.schedule(
           millis,
           () -> {
-            if (!cancelled && !gone) {
+            if (!cancelled && !lost) {
               step.run();
             }
           });
     }
 
-    void restarted() {
-      gone = true;
+    void onEngineRestart() {
+      lost = true;
       if (random.nextInt(4) > 0) {
         eventLoop.schedule(
             random.nextInt(100),
@@ -115,8 +118,8 @@
       }
     }
 
-    private void over(Runnable end) {
-      underWay.remove(this);
+    private void finish(Runnable end) {
+      inProgress.remove(this);
       end.run();
     }
 
@@ -124,14 +127,14 @@
       return request.source().attributes().requestId();
     }
 
-    void begin() {
-      int luck = random.nextInt(100);
-      if (luck < 5) {
-        later(2, () -> over(() -> listener.onFailure(Failure.NOT_SENT, "refused")));
-      } else if (luck < 12) {
-        later(2, () -> over(() -> listener.onHead(head(503, true))));
+    void start() {
+      int roll = random.nextInt(100);
+      if (roll < 5) {
+        schedule(2, () -> finish(() -> listener.onFailure(Failure.NOT_SENT, "refused")));
+      } else if (roll < 12) {
+        schedule(2, () -> finish(() -> listener.onHead(head(503, true))));
       } else {
-        later(1 + random.nextInt(30), this::run);
+        schedule(1 + random.nextInt(30), this::run);
       }
     }
 
@@ -147,11 +150,11 @@
 
     private void event(int number) {
       if (random.nextInt(100) < 2) {
-        later(1, () -> over(() -> listener.onFailure(Failure.BROKEN, "reset")));
+        schedule(1, () -> finish(() -> listener.onFailure(Failure.BROKEN, "reset")));
       } else if (number > EVENTS) {
-        later(1, () -> over(listener::onComplete));
+        schedule(1, () -> finish(listener::onComplete));
       } else {
-        later(
+        schedule(
             1 + random.nextInt(20),
             () -> {
               String text = "id: " + number + "\ndata: " + id() + '-' + number + "\n\n";
@@ -170,8 +173,8 @@
   @Override
   public Exchange send(Engine engine, EngineRequest request, Listener listener) {
     Run run = new Run(engine.record().id(), request, listener);
-    underWay.add(run);
-    run.begin();
+    inProgress.add(run);
+    run.start();
     return run;
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/ScriptedEngine.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/ScriptedEngine.java
@@ -11,28 +11,28 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An engine on loopback that answers each request with scripted bytes. */
+/** An engine on loopback that responds to each request with scripted bytes. */
 public final class ScriptedEngine implements AutoCloseable {
-  /** How a connection goes on after an answer. */
+  /** The state of a connection after a response. */
   public enum After {
     KEEP,
     CLOSE,
     RESET
   }
 
-  /** The bytes of one answer. */
+  /** The bytes of one response and the state of the connection after it. */
   public record Response(String bytes, After after) {}
 
   private final ServerSocket listener;
-  private final List<Response> answers;
+  private final List<Response> responses;
   private final AtomicInteger next = new AtomicInteger();
   private final AtomicInteger connections = new AtomicInteger();
   private final AtomicInteger open = new AtomicInteger();
   private final List<Socket> sockets = new CopyOnWriteArrayList<>();
   private final List<String> requests = new CopyOnWriteArrayList<>();
 
-  public ScriptedEngine(Response... answers) throws IOException {
-    this.answers = List.of(answers);
+  public ScriptedEngine(Response... responses) throws IOException {
+    this.responses = List.of(responses);
     this.listener = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
     start(this::accept);
   }
@@ -47,12 +47,12 @@
     return listener.getLocalPort();
   }
 
-  /** How many connections were opened. */
+  /** Returns how many connections were opened. */
   public int connections() {
     return connections.get();
   }
 
-  /** Waits until as many connections are open. */
+  /** Waits until the given number of connections is open. */
   public void awaitOpen(int count) throws InterruptedException {
     long end = System.nanoTime() + 10_000_000_000L;
     while (open.get() != count) {
@@ -63,12 +63,12 @@
     }
   }
 
-  /** How many connections are open now, as far as this side has noticed. */
+  /** Returns how many connections are open now, as far as this side has noticed. */
   public int open() {
     return open.get();
   }
 
-  /** The heads of the requests, in order of arrival. */
+  /** Returns the heads of the requests, in order of arrival. */
   public List<String> requests() {
     return requests;
   }
@@ -95,26 +95,26 @@
           return;
         }
         requests.add(head);
-        Response answer = answers.get(Math.min(next.getAndIncrement(), answers.size() - 1));
-        socket.getOutputStream().write(answer.bytes().getBytes(StandardCharsets.US_ASCII));
+        Response response = responses.get(Math.min(next.getAndIncrement(), responses.size() - 1));
+        socket.getOutputStream().write(response.bytes().getBytes(StandardCharsets.US_ASCII));
         socket.getOutputStream().flush();
-        if (answer.after() == After.RESET) {
+        if (response.after() == After.RESET) {
           Thread.sleep(100);
           socket.setSoLinger(true, 0);
           return;
         }
-        if (answer.after() == After.CLOSE) {
+        if (response.after() == After.CLOSE) {
           return;
         }
       }
     } catch (IOException | InterruptedException e) {
-      // The connection is over.
+      // The connection has ended.
     } finally {
       open.decrementAndGet();
     }
   }
 
-  /** Reads to the end of a request's head and of the body that its length announces. */
+  /** Reads a request's head and the body whose length it gives; returns the head. */
   private static String readHead(InputStream in) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     while (true) {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingPeerNetwork.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/testing/TestingPeerNetwork.java
@@ -10,16 +10,16 @@
 import org.baykeel.gateway.runtime.EventLoop;
 
 /**
- * Datagrams between nodes in memory and virtual time; none is lost unless its receiver is gone or
- * the test says so.
+ * Delivers datagrams between nodes in memory and virtual time; none is lost unless its receiver is
+ * gone or the test requests it.
  */
 public final class TestingPeerNetwork {
-  private static final long WAY_MILLIS = 2;
-  private static final long DOUBLE_MILLIS = 70;
+  private static final long ONE_WAY_MILLIS = 2;
+  private static final long DUPLICATE_MILLIS = 70;
 
   private final EventLoop eventLoop;
   private final Map<PeerAddress, PeerTransport.Receiver> receivers = new HashMap<>();
-  private final Set<String> cutWays = new HashSet<>();
+  private final Set<String> cutPaths = new HashSet<>();
   private double lossShare;
   private Random random = new Random(0);
   private long sentBytes;
@@ -28,41 +28,41 @@
     this.eventLoop = eventLoop;
   }
 
-  /** Delivers what is sent to an address. */
+  /** Attaches the receiver of an address. */
   public void attach(PeerAddress address, PeerTransport.Receiver receiver) {
     receivers.put(address, receiver);
   }
 
-  /** Cuts or mends the way from one address to another; the way back is another one. */
+  /** Cuts or restores the path from one address to another; the opposite direction is separate. */
   public void cut(PeerAddress from, PeerAddress to, boolean cut) {
     if (cut) {
-      cutWays.add(from + " " + to);
+      cutPaths.add(from + " " + to);
     } else {
-      cutWays.remove(from + " " + to);
+      cutPaths.remove(from + " " + to);
     }
   }
 
-  /** Loses a share of all datagrams, and doubles as many. */
+  /** Loses a share of all datagrams and duplicates the same share of the others. */
   public void lose(double share, Random newRandom) {
     lossShare = share;
     random = newRandom;
   }
 
-  /** Drops what is sent to an address from now on. */
+  /** Drops all datagrams to an address from now on. */
   public void detach(PeerAddress address) {
     receivers.remove(address);
   }
 
-  /** The transport of the node at an address. */
+  /** Returns the transport of the node at an address. */
   public PeerTransport transportOf(PeerAddress sender) {
     return (receiver, datagram) -> {
       sentBytes += datagram.length;
-      if (cutWays.contains(sender + " " + receiver) || random.nextDouble() < lossShare) {
+      if (cutPaths.contains(sender + " " + receiver) || random.nextDouble() < lossShare) {
         return;
       }
-      eventLoop.schedule(WAY_MILLIS, () -> deliver(sender, receiver, datagram));
+      eventLoop.schedule(ONE_WAY_MILLIS, () -> deliver(sender, receiver, datagram));
       if (random.nextDouble() < lossShare) {
-        eventLoop.schedule(DOUBLE_MILLIS, () -> deliver(sender, receiver, datagram));
+        eventLoop.schedule(DUPLICATE_MILLIS, () -> deliver(sender, receiver, datagram));
       }
     };
   }
@@ -74,7 +74,7 @@
     }
   }
 
-  /** Bytes of all datagrams sent so far, without the overhead of a link. */
+  /** Returns the bytes of all datagrams sent so far, without the overhead of a link. */
   public long sentBytes() {
     return sentBytes;
   }
