--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/cordon/CordonPolicy.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/cordon/CordonPolicy.java
@@ -22,6 +22,6 @@
     }
     return criteria.homeKey() != null
         && engine.cachedPrefixes().containsOwnPart(criteria.prompt())
-        && cordons.openToLine(zone, StableHash.of(criteria.homeKey()), nowNanos);
+        && cordons.openToConversation(zone, StableHash.of(criteria.homeKey()), nowNanos);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/cordon/ZoneCordons.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/cordon/ZoneCordons.java
@@ -26,7 +26,7 @@
    */
   static final double PART_OF_BOUND = 0.5;
 
-  private final long leaveNanos;
+  private final long drainNanos;
   private final EventLoop eventLoop;
   private final GatewayLog log;
   private final Map<String, Cordon> cordons = new HashMap<>();
@@ -39,9 +39,9 @@
    *
    * @param version of the operator's row
    * @param learntNanos when this node learnt of it
-   * @param emptyNanos when the last line has left
+   * @param drainedNanos when the last line has left
    */
-  private record Cordon(long version, long learntNanos, long emptyNanos) {}
+  private record Cordon(long version, long learntNanos, long drainedNanos) {}
 
   /**
    * Creates the state of a node that knows of no cordon.
@@ -49,7 +49,7 @@
    * @param boundMillis within which nothing more may reach the engines of a zone
    */
   public ZoneCordons(long boundMillis, EventLoop eventLoop, GatewayLog log) {
-    this.leaveNanos = Math.round(boundMillis * 1e6 * PART_OF_BOUND);
+    this.drainNanos = Math.round(boundMillis * 1e6 * PART_OF_BOUND);
     this.eventLoop = eventLoop;
     this.log = log;
   }
@@ -86,7 +86,7 @@
     }
     long now = eventLoop.nanoTime();
     // A row written again asks for what is already done; time is given only once.
-    long emptyNanos = known == null ? emptyNanos(now) : known.emptyNanos;
+    long emptyNanos = known == null ? drainedNanos(now) : known.drainedNanos;
     cordons.put(zone, new Cordon(version, now, emptyNanos));
     log.write(
         GatewayEvent.ZONE_CORDONED,
@@ -100,8 +100,8 @@
         (emptyNanos - now) / 1_000_000);
   }
 
-  private long emptyNanos(long now) {
-    return everProven ? Math.max(now, Math.min(now, provenNanos) + leaveNanos) : now;
+  private long drainedNanos(long now) {
+    return everProven ? Math.max(now, Math.min(now, provenNanos) + drainNanos) : now;
   }
 
   /** The operator gives a zone back. */
@@ -143,12 +143,12 @@
    *
    * @param hash a number of the line; lines leave in its order
    */
-  public boolean openToLine(String zone, int hash, long nowNanos) {
+  public boolean openToConversation(String zone, int hash, long nowNanos) {
     Cordon cordon = cordons.get(zone);
     if (cordon == null) {
       return true;
     }
-    long spreadNanos = cordon.emptyNanos - cordon.learntNanos;
+    long spreadNanos = cordon.drainedNanos - cordon.learntNanos;
     long stayNanos = (long) (spreadNanos * (Integer.toUnsignedLong(hash) / 0x1p32));
     return nowNanos - cordon.learntNanos < stayNanos;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/CachedPrefixes.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/CachedPrefixes.java
@@ -11,7 +11,7 @@
 public final class CachedPrefixes {
   private static final int MAX_PARTS = 2_048;
 
-  private final LinkedHashMap<String, Integer> keptTokens =
+  private final LinkedHashMap<String, Integer> cachedTokens =
       new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
@@ -24,7 +24,7 @@
   /** Notes that the engine has read these parts. */
   public void add(List<PromptPart> prompt) {
     for (PromptPart part : prompt) {
-      keptTokens.merge(part.id(), part.tokens(), Math::max);
+      cachedTokens.merge(part.id(), part.tokens(), Math::max);
     }
   }
 
@@ -32,13 +32,13 @@
   public void extend(List<PromptPart> prompt, int generatedTokens) {
     if (!prompt.isEmpty()) {
       PromptPart last = prompt.get(prompt.size() - 1);
-      keptTokens.merge(last.id(), last.tokens() + generatedTokens, Math::max);
+      cachedTokens.merge(last.id(), last.tokens() + generatedTokens, Math::max);
     }
   }
 
   /** Whether the engine is believed to keep anything of a part. */
   public boolean contains(String partId) {
-    return keptTokens.containsKey(partId);
+    return cachedTokens.containsKey(partId);
   }
 
   /** Whether the engine is believed to keep anything of a prompt's own, last part. */
@@ -54,8 +54,8 @@
   public int uncachedTokens(List<PromptPart> prompt) {
     int uncached = 0;
     for (PromptPart part : prompt) {
-      int kept = uncached > 0 ? 0 : keptTokens.getOrDefault(part.id(), 0);
-      uncached += Math.max(0, part.tokens() - kept);
+      int cached = uncached > 0 ? 0 : cachedTokens.getOrDefault(part.id(), 0);
+      uncached += Math.max(0, part.tokens() - cached);
     }
     return uncached;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/Engine.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/Engine.java
@@ -5,22 +5,22 @@
 /** An engine and this process's own view of it. Used only from the event loop. */
 public final class Engine {
   private static final double WAIT_SMOOTHING = 0.2;
-  private static final double GAP_SMOOTHING = 0.08;
+  private static final double INTER_EVENT_SMOOTHING = 0.08;
 
   /** A gap counts at most as this multiple of the usual one: a stalled stream is not a pace. */
-  private static final double LONGEST_GAP_FACTOR = 30;
+  private static final double MAX_INTER_EVENT_FACTOR = 30;
 
   /** After this time without an observation a wait no longer says anything. */
   private static final long WAIT_STALE_NANOS = 1_500_000_000L;
 
   /** After this time without a stream an engine's pace no longer says anything. */
-  private static final long PACE_STALE_NANOS = 4_000_000_000L;
+  private static final long INTER_EVENT_STALE_NANOS = 4_000_000_000L;
 
   /**
    * Times between events after which an engine's own pace counts as much as that of its service.
    * Those of one stream tell what else the engine happened to do, so a few streams are needed.
    */
-  private static final double PACE_EVIDENCE = 30;
+  private static final double SERVICE_PRIOR_EVENTS = 30;
 
   private EngineRecord record;
   private final ServicePerformance performance;
@@ -34,7 +34,7 @@
   private double waitMillis;
   private long waitObservedNanos;
   private double interEventMillis;
-  private int gapsObserved;
+  private int interEventTimesObserved;
   private boolean everCold;
   private long coldUntilNanos;
 
@@ -58,7 +58,7 @@
   }
 
   /** Adopts what its record says about its warmth, as of now. */
-  void noteWarmth(long nowNanos) {
+  void updateColdPeriod(long nowNanos) {
     if (record.coldMillis() > 0) {
       everCold = true;
       coldUntilNanos = nowNanos + record.coldMillis() * 1_000_000;
@@ -73,7 +73,7 @@
   }
 
   /** Nanoseconds since it was cold last; {@link Long#MAX_VALUE} if it never was. */
-  public long warmNanos(long nowNanos) {
+  public long warmForNanos(long nowNanos) {
     return everCold ? Math.max(0, nowNanos - coldUntilNanos) : Long.MAX_VALUE;
   }
 
@@ -139,8 +139,8 @@
    * @param millis the wait; negative values count as none
    */
   public void observeWait(double millis, long nowNanos) {
-    if (nowNanos - waitObservedNanos >= PACE_STALE_NANOS) {
-      gapsObserved = 0;
+    if (nowNanos - waitObservedNanos >= INTER_EVENT_STALE_NANOS) {
+      interEventTimesObserved = 0;
     }
     double before = waitMillis(nowNanos);
     waitMillis = before + WAIT_SMOOTHING * (Math.max(0, millis) - before);
@@ -155,15 +155,15 @@
 
   /** Notes the time between two events of a stream, in milliseconds. */
   public void observeInterEventTime(double millis) {
-    double counted = Math.min(millis, performance.interEventMillis() * LONGEST_GAP_FACTOR);
-    interEventMillis = interEventMillis() + GAP_SMOOTHING * (counted - interEventMillis());
-    gapsObserved++;
+    double counted = Math.min(millis, performance.interEventMillis() * MAX_INTER_EVENT_FACTOR);
+    interEventMillis = interEventMillis() + INTER_EVENT_SMOOTHING * (counted - interEventMillis());
+    interEventTimesObserved++;
     performance.observeInterEventTime(counted);
   }
 
   /** The smoothed time between two events of a stream; that of its service if none was seen. */
   public double interEventMillis() {
-    return gapsObserved > 0 ? interEventMillis : performance.interEventMillis();
+    return interEventTimesObserved > 0 ? interEventMillis : performance.interEventMillis();
   }
 
   /**
@@ -172,7 +172,7 @@
    * shows its pace anew.
    */
   public double observedInterEventMillis(long nowNanos) {
-    boolean forgotten = inFlight == 0 && nowNanos - waitObservedNanos >= PACE_STALE_NANOS;
+    boolean forgotten = inFlight == 0 && nowNanos - waitObservedNanos >= INTER_EVENT_STALE_NANOS;
     return forgotten ? performance.interEventMillis() : interEventMillis();
   }
 
@@ -181,7 +181,7 @@
    * seen here, the more the usual pace of its service counts.
    */
   public double interEventMillis(long nowNanos) {
-    double own = gapsObserved / (gapsObserved + PACE_EVIDENCE);
+    double own = interEventTimesObserved / (interEventTimesObserved + SERVICE_PRIOR_EVENTS);
     return performance.interEventMillis()
         + own * (observedInterEventMillis(nowNanos) - performance.interEventMillis());
   }
@@ -201,13 +201,13 @@
   /** Notes that another node suspects it; returns whether that is new here. */
   public boolean suspectedByPeer(long nowNanos) {
     boolean suspectBefore = failures.suspectAt(nowNanos);
-    failures.suspectedElsewhere(nowNanos);
+    failures.suspectedByPeer(nowNanos);
     return !suspectBefore;
   }
 
   /** Notes that it answered with a fault of its own: it is avoided briefly. */
   public void serverErrorReceived(long nowNanos) {
-    failures.faultAnswered(nowNanos);
+    failures.serverErrorReceived(nowNanos);
   }
 
   /** Notes a whole answer. */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineCapacity.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineCapacity.java
@@ -10,23 +10,23 @@
  * report of the engine's load that is newer than its word shows a place earlier.
  */
 public final class EngineCapacity {
-  private static final double SHORTEST_MILLIS = 10;
+  private static final double MIN_INTERVAL_MILLIS = 10;
 
   /** The longest time until a place is expected, in answers, while few requests wait here. */
-  private static final double LONGEST_ANSWERS = 4;
+  private static final double MAX_INTERVAL_RESPONSES = 4;
 
   /** As many waiting requests halve that time. */
   private static final double HALVING_REQUESTS = 16;
 
   /** After this time without a further word an engine that was full counts as any other. */
-  private static final long FORGET_NANOS = 1_000_000_000L;
+  private static final long REPORT_VALID_NANOS = 1_000_000_000L;
 
   private final LoadEstimate load;
   private boolean everFull;
-  private long saidNanos;
-  private long placeNanos;
+  private long reportedFullNanos;
+  private long slotIntervalNanos;
   private long nextCapacityNanos;
-  private int mostRequests;
+  private int requestsWhenFull;
 
   EngineCapacity(LoadEstimate load) {
     this.load = load;
@@ -35,33 +35,34 @@
   /**
    * The engine said that it is full.
    *
-   * @param answerMillis the usual time of an answer
+   * @param responseMillis the usual time of an answer
    * @param slots requests that it works on at once
    * @param waiting requests that wait for a place at this process
    */
-  public void reportedFull(double answerMillis, int slots, int waiting, long nowNanos) {
-    int places = Math.max(1, slots);
+  public void reportedFull(double responseMillis, int slots, int waiting, long nowNanos) {
+    int slotCount = Math.max(1, slots);
     double crowding = HALVING_REQUESTS / (HALVING_REQUESTS + waiting);
-    double longestMillis = answerMillis * LONGEST_ANSWERS * crowding;
-    double millis = remembered(nowNanos) ? placeNanos * 2 / 1e6 : answerMillis / places;
-    millis = Math.max(SHORTEST_MILLIS, Math.min(longestMillis, millis));
+    double maxMillis = responseMillis * MAX_INTERVAL_RESPONSES * crowding;
+    double millis =
+        reportedFullRecently(nowNanos) ? slotIntervalNanos * 2 / 1e6 : responseMillis / slotCount;
+    millis = Math.max(MIN_INTERVAL_MILLIS, Math.min(maxMillis, millis));
     everFull = true;
-    saidNanos = nowNanos;
-    placeNanos = Math.round(millis * 1e6);
-    nextCapacityNanos = nowNanos + placeNanos;
-    mostRequests = Math.max(places, load.requests(nowNanos));
+    reportedFullNanos = nowNanos;
+    slotIntervalNanos = Math.round(millis * 1e6);
+    nextCapacityNanos = nowNanos + slotIntervalNanos;
+    requestsWhenFull = Math.max(slotCount, load.requests(nowNanos));
   }
 
   /** This process sends a request to the engine. */
   public void sent(long nowNanos) {
-    if (remembered(nowNanos)) {
-      nextCapacityNanos = nowNanos + placeNanos;
+    if (reportedFullRecently(nowNanos)) {
+      nextCapacityNanos = nowNanos + slotIntervalNanos;
     }
   }
 
   /** The engine gave an answer to a request of this process: a place has come free. */
   public void responseReceived(long nowNanos) {
-    placeNanos = Math.max(Math.round(SHORTEST_MILLIS * 1e6), placeNanos / 2);
+    slotIntervalNanos = Math.max(Math.round(MIN_INTERVAL_MILLIS * 1e6), slotIntervalNanos / 2);
     nextCapacityNanos = nowNanos;
   }
 
@@ -72,19 +73,21 @@
 
   /** When it is expected to have a place; the present moment if it may have one. */
   public long nextCapacityNanos(long nowNanos) {
-    if (!remembered(nowNanos) || nextCapacityNanos - nowNanos <= 0 || reportedRoom(nowNanos)) {
+    if (!reportedFullRecently(nowNanos)
+        || nextCapacityNanos - nowNanos <= 0
+        || loadShowsCapacity(nowNanos)) {
       return nowNanos;
     }
-    return Math.min(nextCapacityNanos, saidNanos + FORGET_NANOS);
+    return Math.min(nextCapacityNanos, reportedFullNanos + REPORT_VALID_NANOS);
   }
 
-  private boolean remembered(long nowNanos) {
-    return everFull && nowNanos - saidNanos < FORGET_NANOS;
+  private boolean reportedFullRecently(long nowNanos) {
+    return everFull && nowNanos - reportedFullNanos < REPORT_VALID_NANOS;
   }
 
-  private boolean reportedRoom(long nowNanos) {
+  private boolean loadShowsCapacity(long nowNanos) {
     return load.known(nowNanos)
-        && load.ageNanos(nowNanos) < nowNanos - saidNanos
-        && load.requests(nowNanos) < mostRequests;
+        && load.ageNanos(nowNanos) < nowNanos - reportedFullNanos
+        && load.requests(nowNanos) < requestsWhenFull;
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineDirectory.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineDirectory.java
@@ -21,7 +21,7 @@
  * counts as removed.
  */
 public final class EngineDirectory {
-  private final long longestLapseNanos;
+  private final long maxLapseNanos;
   private final Map<String, Engine> byId = new HashMap<>();
   private final Map<String, List<Engine>> byService = new HashMap<>();
   private final Map<String, ServicePerformance> performanceByService = new HashMap<>();
@@ -36,7 +36,7 @@
    *     at most; under the time after which a leaving engine must get no work
    */
   public EngineDirectory(long longestLapseNanos) {
-    this.longestLapseNanos = longestLapseNanos;
+    this.maxLapseNanos = longestLapseNanos;
   }
 
   /**
@@ -114,52 +114,52 @@
       add(record, nowNanos);
       return;
     }
-    EngineRecord before = known.record();
-    if (record.startMillis() != 0 && record.startMillis() < before.startMillis()) {
+    EngineRecord previous = known.record();
+    if (record.startMillis() != 0 && record.startMillis() < previous.startMillis()) {
       return;
     }
     lapsedUntilNanos.remove(record.id());
-    if (startedAgain(before, record.startMillis())) {
+    if (isRestart(previous, record.startMillis())) {
       replace(known, record, nowNanos, EngineRestartListener.Source.ENTRY);
-    } else if (before.service().equals(record.service())) {
-      known.update(record.orStartedAt(before.startMillis()));
-      known.noteWarmth(nowNanos);
+    } else if (previous.service().equals(record.service())) {
+      known.update(record.withStartIfUnknown(previous.startMillis()));
+      known.updateColdPeriod(nowNanos);
     } else {
       // What is known of its work is of another service's.
       drop(known);
-      add(record.orStartedAt(before.startMillis()), nowNanos);
+      add(record.withStartIfUnknown(previous.startMillis()), nowNanos);
     }
   }
 
-  private static boolean startedAgain(EngineRecord before, long bornMillis) {
-    return before.startMillis() != 0 && bornMillis > before.startMillis();
+  private static boolean isRestart(EngineRecord previous, long startMillis) {
+    return previous.startMillis() != 0 && startMillis > previous.startMillis();
   }
 
   /**
    * Something other than its entry tells when an engine started. If that is later than known, all
    * beliefs are dropped at once, and the engine counts as cold until its entry comes or is overdue.
    *
-   * @param bornMillis its start in Unix milliseconds; 0 if it was not told
+   * @param startMillis its start in Unix milliseconds; 0 if it was not told
    * @return false if the engine is not known, or if what was told is of an earlier life of it and
    *     must not be believed of the present one
    */
-  public boolean adoptStartTime(EngineId id, long bornMillis, long nowNanos) {
+  public boolean adoptStartTime(EngineId id, long startMillis, long nowNanos) {
     Engine known = byId.get(id.value());
     if (known == null) {
       return false;
     }
-    EngineRecord before = known.record();
-    if (bornMillis == 0 || bornMillis == before.startMillis()) {
+    EngineRecord previous = known.record();
+    if (startMillis == 0 || startMillis == previous.startMillis()) {
       return true;
     }
-    if (bornMillis < before.startMillis()) {
+    if (startMillis < previous.startMillis()) {
       return false;
     }
-    if (startedAgain(before, bornMillis)) {
-      EngineRecord after = before.startedAt(bornMillis);
+    if (isRestart(previous, startMillis)) {
+      EngineRecord after = previous.restartedAt(startMillis);
       replace(known, after, nowNanos, EngineRestartListener.Source.REPORT);
     } else {
-      known.update(before.orStartedAt(bornMillis));
+      known.update(previous.withStartIfUnknown(startMillis));
     }
     return true;
   }
@@ -178,7 +178,7 @@
             record,
             performanceOf(record.service()),
             suspected -> suspicionListener.engineSuspected(suspected));
-    engine.noteWarmth(nowNanos);
+    engine.updateColdPeriod(nowNanos);
     byId.put(record.id(), engine);
     byService.computeIfAbsent(record.service(), service -> new ArrayList<>()).add(engine);
   }
@@ -206,7 +206,7 @@
     if (engine == null || lapsedUntilNanos.containsKey(id)) {
       return;
     }
-    long graceNanos = Math.min(lapsesEndNanos - nowNanos, longestLapseNanos);
+    long graceNanos = Math.min(lapsesEndNanos - nowNanos, maxLapseNanos);
     if (graceNanos <= 0 || engine.record().draining()) {
       drop(engine);
     } else {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineEntryFaults.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineEntryFaults.java
@@ -11,7 +11,7 @@
   /** More entries than are at fault at a time; faults beyond it are not told. */
   private static final int MAX_FAULTS = 1_024;
 
-  private final Map<EngineId, EngineEntryFault> known = new HashMap<>();
+  private final Map<EngineId, EngineEntryFault> faultByEngine = new HashMap<>();
 
   /**
    * Notes a fault.
@@ -19,24 +19,24 @@
    * @return whether it is to be told: it was not known like this, and there is room to note it
    */
   public boolean note(EngineEntryFault fault) {
-    if (!known.containsKey(fault.engine()) && known.size() >= MAX_FAULTS) {
+    if (!faultByEngine.containsKey(fault.engine()) && faultByEngine.size() >= MAX_FAULTS) {
       return false;
     }
-    return !fault.equals(known.put(fault.engine(), fault));
+    return !fault.equals(faultByEngine.put(fault.engine(), fault));
   }
 
   /** An engine's entry is good, or gone. */
   public void clear(EngineId engine) {
-    known.remove(engine);
+    faultByEngine.remove(engine);
   }
 
   /** Forgets all entries but some. */
   public void retain(Collection<EngineId> engines) {
-    known.keySet().retainAll(engines);
+    faultByEngine.keySet().retainAll(engines);
   }
 
   /** How many entries name no engine to use. */
   public int size() {
-    return known.size();
+    return faultByEngine.size();
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineFailures.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineFailures.java
@@ -8,15 +8,15 @@
  */
 final class EngineFailures {
   private static final long FIRST_PENALTY_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
-  private static final long FAULT_PENALTY_NANOS = TimeUnit.MILLISECONDS.toNanos(30);
-  private static final long LONGEST_PENALTY_NANOS = TimeUnit.SECONDS.toNanos(4);
+  private static final long SERVER_ERROR_PENALTY_NANOS = TimeUnit.MILLISECONDS.toNanos(30);
+  private static final long MAX_PENALTY_NANOS = TimeUnit.SECONDS.toNanos(4);
   private static final long PROBATION_NANOS = TimeUnit.SECONDS.toNanos(2);
   private static final int FAILURES_UNTIL_SUSPECT = 2;
   private static final long FIRST_SUSPICION_NANOS = TimeUnit.SECONDS.toNanos(2);
   private static final int MAX_SUSPICION_DOUBLINGS = 2;
 
   /** How long the first suspicion of another node counts here. */
-  private static final long FIRST_REPORT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
+  private static final long FIRST_PEER_SUSPICION_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
   /** After this time without a suspicion the next one counts as the first. */
   private static final long FORGET_NANOS = TimeUnit.SECONDS.toNanos(12);
@@ -34,7 +34,7 @@
   /** Notes a failure: the engine is avoided for a time that doubles until it serves again. */
   void failed(long nowNanos) {
     avoidUntilNanos = nowNanos + penaltyNanos;
-    penaltyNanos = Math.min(LONGEST_PENALTY_NANOS, penaltyNanos * 2);
+    penaltyNanos = Math.min(MAX_PENALTY_NANOS, penaltyNanos * 2);
     penalized = true;
     everFailed = true;
     lastFailureNanos = nowNanos;
@@ -45,8 +45,8 @@
   }
 
   /** Notes that another node suspects the engine. */
-  void suspectedElsewhere(long nowNanos) {
-    suspect(nowNanos, FIRST_REPORT_NANOS, !suspectAt(nowNanos));
+  void suspectedByPeer(long nowNanos) {
+    suspect(nowNanos, FIRST_PEER_SUSPICION_NANOS, !suspectAt(nowNanos));
   }
 
   /**
@@ -68,8 +68,8 @@
   }
 
   /** Notes that the engine answered with a fault of its own: it is avoided briefly. */
-  void faultAnswered(long nowNanos) {
-    avoidUntilNanos = Math.max(avoidUntilNanos, nowNanos + FAULT_PENALTY_NANOS);
+  void serverErrorReceived(long nowNanos) {
+    avoidUntilNanos = Math.max(avoidUntilNanos, nowNanos + SERVER_ERROR_PENALTY_NANOS);
     penalized = true;
   }
 
@@ -91,7 +91,7 @@
     if (suspectAt(nowNanos)) {
       return EngineHealth.SUSPECT;
     }
-    boolean failedLately = everFailed && nowNanos - lastFailureNanos < PROBATION_NANOS;
-    return failedLately ? EngineHealth.PROBATION : EngineHealth.HEALTHY;
+    boolean failedRecently = everFailed && nowNanos - lastFailureNanos < PROBATION_NANOS;
+    return failedRecently ? EngineHealth.PROBATION : EngineHealth.HEALTHY;
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineHealth.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineHealth.java
@@ -5,7 +5,7 @@
   /** Nothing speaks against it. */
   HEALTHY {
     @Override
-    public double penaltyMillis(boolean repeatable, double answerMillis) {
+    public double penaltyMillis(boolean repeatable, double responseMillis) {
       return 0;
     }
   },
@@ -16,8 +16,8 @@
    */
   PROBATION {
     @Override
-    public double penaltyMillis(boolean repeatable, double answerMillis) {
-      return repeatable ? 0 : answerMillis * PROBATION_PENALTY_ANSWERS;
+    public double penaltyMillis(boolean repeatable, double responseMillis) {
+      return repeatable ? 0 : responseMillis * PROBATION_PENALTY_RESPONSES;
     }
   },
 
@@ -28,7 +28,7 @@
    */
   SUSPECT {
     @Override
-    public double penaltyMillis(boolean repeatable, double answerMillis) {
+    public double penaltyMillis(boolean repeatable, double responseMillis) {
       return repeatable ? 0 : SUSPECT_PENALTY_MILLIS;
     }
   },
@@ -36,13 +36,13 @@
   /** It has just failed: used only if no other engine is left. */
   AVOIDED {
     @Override
-    public double penaltyMillis(boolean repeatable, double answerMillis) {
+    public double penaltyMillis(boolean repeatable, double responseMillis) {
       return LAST_RESORT_PENALTY_MILLIS;
     }
   };
 
   /** What the doubt about an engine on probation is worth, in usual answers of its service. */
-  private static final double PROBATION_PENALTY_ANSWERS = 2;
+  private static final double PROBATION_PENALTY_RESPONSES = 2;
 
   /** More than any wait that is worth its while. */
   private static final double SUSPECT_PENALTY_MILLIS = 20_000;
@@ -53,7 +53,7 @@
    * What is added to the predicted time of a request, in milliseconds.
    *
    * @param repeatable whether the request may be sent to another engine after an unknown outcome
-   * @param answerMillis the usual time of an answer of the service
+   * @param responseMillis the usual time of an answer of the service
    */
-  public abstract double penaltyMillis(boolean repeatable, double answerMillis);
+  public abstract double penaltyMillis(boolean repeatable, double responseMillis);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineRecord.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineRecord.java
@@ -25,7 +25,7 @@
     long startMillis) {
 
   /** Longer than the entry of an engine takes to come after its start. */
-  private static final long UNTOLD_COLD_MILLIS = 3_000;
+  private static final long ASSUMED_COLD_MILLIS = 3_000;
 
   /** An engine that does not say when it started. */
   public EngineRecord(
@@ -52,13 +52,13 @@
   }
 
   /** The same engine with another start; it counts as cold until it says how warm it is. */
-  EngineRecord startedAt(long startMillis) {
+  EngineRecord restartedAt(long startMillis) {
     return new EngineRecord(
-        id, service, host, port, zone, slots, draining, UNTOLD_COLD_MILLIS, startMillis);
+        id, service, host, port, zone, slots, draining, ASSUMED_COLD_MILLIS, startMillis);
   }
 
   /** The same statement with the start that is known, if it names none itself. */
-  EngineRecord orStartedAt(long knownMillis) {
+  EngineRecord withStartIfUnknown(long knownMillis) {
     return startMillis != 0 || knownMillis == 0
         ? this
         : new EngineRecord(id, service, host, port, zone, slots, draining, coldMillis, knownMillis);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineRestartListener.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineRestartListener.java
@@ -4,7 +4,7 @@
 @FunctionalInterface
 public interface EngineRestartListener {
   /** A listener that does nothing. */
-  EngineRestartListener NONE = (id, bornBefore, bornNow, source) -> {};
+  EngineRestartListener NONE = (id, previousStartMillis, newStartMillis, source) -> {};
 
   /** What told of the later start first. */
   enum Source {
@@ -18,9 +18,9 @@
    * Everything that was believed of the engine's former life is dropped.
    *
    * @param id the engine
-   * @param bornBefore start of the former life, in Unix milliseconds
-   * @param bornNow start of the present one, in Unix milliseconds
+   * @param previousStartMillis start of the former life, in Unix milliseconds
+   * @param newStartMillis start of the present one, in Unix milliseconds
    * @param source what told of it
    */
-  void engineRestarted(EngineId id, long bornBefore, long bornNow, Source source);
+  void engineRestarted(EngineId id, long previousStartMillis, long newStartMillis, Source source);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/LoadEstimate.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/LoadEstimate.java
@@ -14,15 +14,15 @@
    */
   public static final long STALE_NANOS = 2_500_000_000L;
 
-  private static final int FIRST_CAPACITY = 8;
+  private static final int INITIAL_CAPACITY = 8;
 
   private EngineLoad reported;
   private long asOfNanos;
 
   /** When the requests under way were sent; the first {@link #underWay} count. */
-  private long[] sentNanos = new long[FIRST_CAPACITY];
+  private long[] sentNanos = new long[INITIAL_CAPACITY];
 
-  private int underWay;
+  private int inFlight;
 
   /**
    * Adopts a report unless a later one is known.
@@ -46,10 +46,10 @@
 
   /** This process sent a request to the engine. */
   public void sent(long nowNanos) {
-    if (underWay == sentNanos.length) {
-      sentNanos = Arrays.copyOf(sentNanos, 2 * underWay);
+    if (inFlight == sentNanos.length) {
+      sentNanos = Arrays.copyOf(sentNanos, 2 * inFlight);
     }
-    sentNanos[underWay++] = nowNanos;
+    sentNanos[inFlight++] = nowNanos;
   }
 
   /**
@@ -58,9 +58,9 @@
    * @param sentAtNanos the moment that was passed when it was sent
    */
   public void ended(long sentAtNanos) {
-    for (int i = 0; i < underWay; i++) {
+    for (int i = 0; i < inFlight; i++) {
       if (sentNanos[i] == sentAtNanos) {
-        sentNanos[i] = sentNanos[--underWay];
+        sentNanos[i] = sentNanos[--inFlight];
         return;
       }
     }
@@ -112,7 +112,7 @@
   /** Requests under way of this process that the report can't have counted. */
   private int sentSince() {
     int since = 0;
-    for (int i = 0; i < underWay; i++) {
+    for (int i = 0; i < inFlight; i++) {
       if (sentNanos[i] - asOfNanos > 0) {
         since++;
       }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/ServicePerformance.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/ServicePerformance.java
@@ -6,60 +6,60 @@
  */
 public final class ServicePerformance {
   /** What one more observation leaves of the weight of the earlier ones; about 200 count. */
-  private static final double FORGETTING = 0.995;
+  private static final double DECAY = 0.995;
 
   /** Weight of one observation of a plain mean; about the last 50 count. */
   private static final double SMOOTHING = 0.02;
 
   /** A low estimate falls this fast to an observation below it, and rises a tenth as fast. */
-  private static final double FALL = 0.2;
+  private static final double FALL_RATE = 0.2;
 
-  private static final double RISE = 0.02;
+  private static final double RISE_RATE = 0.02;
 
   /** Prompts whose lengths differ less than this tell nothing of the speed of reading. */
   private static final double MIN_TOKENS_DEVIATION = 50;
 
-  private static final double FIRST_MILLIS_PER_TOKEN = 0.01;
+  private static final double INITIAL_MILLIS_PER_TOKEN = 0.01;
   private static final double MIN_MILLIS_PER_TOKEN = 0.0005;
   private static final double MAX_MILLIS_PER_TOKEN = 2.0;
-  private static final double FIRST_EVENT_MILLIS = 15;
-  private static final double FIRST_GAP_MILLIS = 30;
-  private static final double FIRST_EVENTS_PER_ANSWER = 10;
-  private static final double FIRST_NEW_TOKENS = 1_000;
-  private static final double FIRST_WORK_MILLIS = 30;
+  private static final double INITIAL_FIRST_EVENT_MILLIS = 15;
+  private static final double INITIAL_INTER_EVENT_MILLIS = 30;
+  private static final double INITIAL_EVENTS_PER_STREAM = 10;
+  private static final double INITIAL_NEW_TOKENS = 1_000;
+  private static final double INITIAL_NON_STREAM_MILLIS = 30;
 
   private double weight;
   private double sumTokens;
   private double sumMillis;
   private double sumTokensSquared;
   private double sumTokensMillis;
-  private double millisPerToken = FIRST_MILLIS_PER_TOKEN;
-  private double firstEventMillis = FIRST_EVENT_MILLIS;
-  private double interEventMillis = FIRST_GAP_MILLIS;
-  private double eventsPerStream = FIRST_EVENTS_PER_ANSWER;
-  private double newTokens = FIRST_NEW_TOKENS;
-  private double nonStreamMillis = FIRST_WORK_MILLIS;
+  private double millisPerToken = INITIAL_MILLIS_PER_TOKEN;
+  private double firstEventMillis = INITIAL_FIRST_EVENT_MILLIS;
+  private double interEventMillis = INITIAL_INTER_EVENT_MILLIS;
+  private double eventsPerStream = INITIAL_EVENTS_PER_STREAM;
+  private double newTokens = INITIAL_NEW_TOKENS;
+  private double nonStreamMillis = INITIAL_NON_STREAM_MILLIS;
 
   /**
    * Notes the first event of a stream.
    *
-   * @param unreadTokens tokens of the prompt that the engine was believed not to keep
+   * @param uncachedTokens tokens of the prompt that the engine was believed not to keep
    * @param millis the time since the request was sent
    */
-  public void observeFirstEvent(int unreadTokens, double millis) {
-    weight = weight * FORGETTING + 1;
-    sumTokens = sumTokens * FORGETTING + unreadTokens;
-    sumMillis = sumMillis * FORGETTING + millis;
-    sumTokensSquared = sumTokensSquared * FORGETTING + (double) unreadTokens * unreadTokens;
-    sumTokensMillis = sumTokensMillis * FORGETTING + unreadTokens * millis;
-    fitReading();
-    double beyondReading = Math.max(0, millis - unreadTokens * millisPerToken);
-    double rate = beyondReading < firstEventMillis ? FALL : RISE;
-    firstEventMillis += rate * (beyondReading - firstEventMillis);
+  public void observeFirstEvent(int uncachedTokens, double millis) {
+    weight = weight * DECAY + 1;
+    sumTokens = sumTokens * DECAY + uncachedTokens;
+    sumMillis = sumMillis * DECAY + millis;
+    sumTokensSquared = sumTokensSquared * DECAY + (double) uncachedTokens * uncachedTokens;
+    sumTokensMillis = sumTokensMillis * DECAY + uncachedTokens * millis;
+    fitPrefill();
+    double beyondPrefill = Math.max(0, millis - uncachedTokens * millisPerToken);
+    double rate = beyondPrefill < firstEventMillis ? FALL_RATE : RISE_RATE;
+    firstEventMillis += rate * (beyondPrefill - firstEventMillis);
   }
 
   /** Least squares over the observations that still count. */
-  private void fitReading() {
+  private void fitPrefill() {
     double mean = sumTokens / weight;
     double variance = sumTokensSquared / weight - mean * mean;
     if (variance < MIN_TOKENS_DEVIATION * MIN_TOKENS_DEVIATION) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/EngineLoadView.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/EngineLoadView.java
@@ -11,23 +11,23 @@
  */
 final class EngineLoadView {
   /** An engine is loaded from this part of its memory on. */
-  private static final double LOADED_MEMORY = 0.75;
+  private static final double LOADED_MEMORY_SHARE = 0.75;
 
   /** A longer time between two notices is a silence, and not how often a node tells. */
-  private static final long LONGEST_GAP_NANOS = 4_000_000_000L;
+  private static final long MAX_NOTICE_INTERVAL_NANOS = 4_000_000_000L;
 
   private final Engine engine;
   private final EngineId id;
-  private EngineLoad told;
-  private long toldNanos;
-  private long heardNanos;
-  private long heardGapNanos;
+  private EngineLoad lastReported;
+  private long reportedNanos;
+  private long precedingNoticeNanos;
+  private long precedingNoticeIntervalNanos;
 
   EngineLoadView(Engine engine, long nowNanos) {
     this.engine = engine;
     this.id = new EngineId(engine.record().id());
-    this.toldNanos = nowNanos;
-    this.heardNanos = nowNanos;
+    this.reportedNanos = nowNanos;
+    this.precedingNoticeNanos = nowNanos;
   }
 
   Engine engine() {
@@ -48,38 +48,41 @@
       return false;
     }
     if (engine.load().reported(report.load(), asOfNanos)) {
-      told = report.load();
+      lastReported = report.load();
     }
-    toldNanos = nowNanos;
+    reportedNanos = nowNanos;
     return true;
   }
 
   /** A node that comes before this one has told of the engine. */
-  void heardBefore(long nowNanos) {
-    long gap = nowNanos - heardNanos;
-    heardGapNanos = gap > LONGEST_GAP_NANOS ? 0 : gap;
-    heardNanos = nowNanos;
+  void precedingNodeReported(long nowNanos) {
+    long interval = nowNanos - precedingNoticeNanos;
+    precedingNoticeIntervalNanos = interval > MAX_NOTICE_INTERVAL_NANOS ? 0 : interval;
+    precedingNoticeNanos = nowNanos;
   }
 
   /** For how long no node that comes before this one has told of the engine. */
   long silenceNanos(long nowNanos) {
-    return nowNanos - heardNanos;
+    return nowNanos - precedingNoticeNanos;
   }
 
   /** The time between the last two times that such a node told of it; 0 if not known. */
-  long heardGapNanos() {
-    return heardGapNanos;
+  long precedingNoticeIntervalNanos() {
+    return precedingNoticeIntervalNanos;
   }
 
   /** Whether any node has told of it within a time. */
-  boolean toldWithin(long nanos, long nowNanos) {
-    return told != null && nowNanos - toldNanos < nanos;
+  boolean reportedWithin(long nanos, long nowNanos) {
+    return lastReported != null && nowNanos - reportedNanos < nanos;
   }
 
   /** Whether the last report says that it is loaded. */
-  boolean toldLoaded() {
-    return told != null
-        && loaded(told.waiting() + told.running(), told.waiting(), told.memoryShare());
+  boolean reportedLoaded() {
+    return lastReported != null
+        && loaded(
+            lastReported.waiting() + lastReported.running(),
+            lastReported.waiting(),
+            lastReported.memoryShare());
   }
 
   /** Whether it is loaded as far as this node knows, its own requests among that. */
@@ -92,6 +95,8 @@
   }
 
   private boolean loaded(int requests, int waiting, double memoryShare) {
-    return 2 * requests > engine.record().slots() || waiting > 0 || memoryShare > LOADED_MEMORY;
+    return 2 * requests > engine.record().slots()
+        || waiting > 0
+        || memoryShare > LOADED_MEMORY_SHARE;
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/EventLoopLag.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/EventLoopLag.java
@@ -7,7 +7,7 @@
 final class EventLoopLag {
   private final long intervalNanos;
   private long tickNanos;
-  private long lastLateNanos;
+  private long lastLagNanos;
 
   EventLoopLag(long intervalNanos, long nowNanos) {
     this.intervalNanos = intervalNanos;
@@ -15,13 +15,13 @@
   }
 
   /** A task that is to run at each interval runs now. */
-  void ticked(long nowNanos) {
-    lastLateNanos = Math.max(0, nowNanos - tickNanos - intervalNanos);
+  void tick(long nowNanos) {
+    lastLagNanos = Math.max(0, nowNanos - tickNanos - intervalNanos);
     tickNanos = nowNanos;
   }
 
   /** How much older than it seems something may be that is read now. */
-  long lateNanos(long nowNanos) {
-    return Math.max(lastLateNanos, nowNanos - tickNanos - intervalNanos);
+  long lagNanos(long nowNanos) {
+    return Math.max(lastLagNanos, nowNanos - tickNanos - intervalNanos);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadNoticePublisher.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadNoticePublisher.java
@@ -24,10 +24,10 @@
   static final long BYTES_PER_SECOND = 16_384;
 
   /** What may be sent at once after a calm time: a report to the most nodes that are known. */
-  static final long MAX_SAVED_BYTES = 131_072;
+  static final long MAX_BURST_BYTES = 131_072;
 
   /** Answers of one round come within this time. */
-  private static final long COLLECT_MILLIS = 10;
+  private static final long BATCH_MILLIS = 10;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -51,7 +51,7 @@
     this.transport = transport;
     this.codec = codec;
     this.eventLoop = eventLoop;
-    this.budget = new ByteBudget(BYTES_PER_SECOND, MAX_SAVED_BYTES, eventLoop.nanoTime());
+    this.budget = new ByteBudget(BYTES_PER_SECOND, MAX_BURST_BYTES, eventLoop.nanoTime());
   }
 
   /** The bytes that a round costs besides its engines. */
@@ -65,14 +65,14 @@
   }
 
   /** Whether there is room for bytes, or as much as there ever is. */
-  boolean room(long wanted) {
+  boolean hasBudget(long wantedBytes) {
     return budget.available(eventLoop.nanoTime()) - reservedBytes
-        >= Math.min(wanted, MAX_SAVED_BYTES);
+        >= Math.min(wantedBytes, MAX_BURST_BYTES);
   }
 
   /** Sets bytes aside for what is asked now and told later. */
-  void reserve(long aside) {
-    reservedBytes += aside;
+  void reserve(long newBytes) {
+    reservedBytes += newBytes;
   }
 
   /** Gives back what {@link #reserve} set aside. */
@@ -85,14 +85,14 @@
    *
    * @param reserved what {@link #reserve} set aside for it
    */
-  void tell(EngineId engine, LoadReport report, long asOfNanos, long reserved) {
+  void publish(EngineId engine, LoadReport report, long asOfNanos, long reserved) {
     Pending before = pending.put(engine, new Pending(report, asOfNanos, reserved));
     if (before != null) {
       release(before.reservedBytes());
     }
     if (!flushDue) {
       flushDue = true;
-      eventLoop.schedule(COLLECT_MILLIS, this::flush);
+      eventLoop.schedule(BATCH_MILLIS, this::flush);
     }
   }
 
@@ -102,18 +102,19 @@
     List<PeerMessage.ReportedLoad> fresh =
         pending.entrySet().stream()
             .filter(entry -> now - entry.getValue().asOfNanos() < LoadEstimate.STALE_NANOS)
-            .map(entry -> entry(entry.getKey(), entry.getValue(), now))
+            .map(entry -> toReportedLoad(entry.getKey(), entry.getValue(), now))
             .toList();
-    for (Iterator<Pending> told = pending.values().iterator(); told.hasNext(); ) {
-      release(told.next().reservedBytes());
-      told.remove();
+    for (Iterator<Pending> pendingReport = pending.values().iterator(); pendingReport.hasNext(); ) {
+      release(pendingReport.next().reservedBytes());
+      pendingReport.remove();
     }
     EngineLoadNoticeCodec.split(fresh).forEach(notice -> send(notice, now));
   }
 
-  private static PeerMessage.ReportedLoad entry(EngineId engine, Pending told, long nowNanos) {
-    long ageMillis = (nowNanos - told.asOfNanos() + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI;
-    LoadReport report = told.report();
+  private static PeerMessage.ReportedLoad toReportedLoad(
+      EngineId engine, Pending pendingReport, long nowNanos) {
+    long ageMillis = (nowNanos - pendingReport.asOfNanos() + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI;
+    LoadReport report = pendingReport.report();
     return new PeerMessage.ReportedLoad(engine, ageMillis, report.startMillis(), report.load());
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadQuerySchedule.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadQuerySchedule.java
@@ -10,49 +10,49 @@
  */
 final class LoadQuerySchedule {
   /** Between two questions to an engine that is loaded. */
-  static final long FAST_NANOS = 200_000_000L;
+  static final long LOADED_INTERVAL_NANOS = 200_000_000L;
 
   /**
    * Between two questions to a calm engine. With one turn and the way it stays below a second, the
    * time within which a reporter that is gone is replaced.
    */
-  static final long SLOW_NANOS = 700_000_000L;
+  static final long UNLOADED_INTERVAL_NANOS = 700_000_000L;
 
   /** What each place in the order waits longer than the one before; more than rounds vary. */
-  private static final long TURN_NANOS = 150_000_000L;
+  private static final long TAKEOVER_STEP_NANOS = 150_000_000L;
 
   /** How long an engine without reports isn't asked again. */
-  static final long UNAVAILABLE_NANOS = 30_000_000_000L;
+  static final long UNAVAILABLE_RETRY_NANOS = 30_000_000_000L;
 
-  private static final long LONGEST_BACKOFF_NANOS = 5_000_000_000L;
+  private static final long MAX_BACKOFF_NANOS = 5_000_000_000L;
   private static final int MAX_DOUBLINGS = 5;
 
   /**
    * Nodes that ask an engine of which nothing was told lately: it may have no reports, or be gone,
    * and need not be asked by all nodes.
    */
-  private static final int FIRST_NODES = 5;
+  private static final int PROBING_NODES = 5;
 
   /** An engine of which something was told within this time gives reports. */
-  private static final long REPORTS_NANOS = 10_000_000_000L;
+  private static final long REPORTING_WITHIN_NANOS = 10_000_000_000L;
 
   /**
    * Part of the interval from which on an engine is asked together with others: beyond a half,
    * engines of one interval end in two rounds at most.
    */
-  private static final double NEARLY_DUE = 0.6;
+  private static final double EARLY_QUERY_PART = 0.6;
 
   private static final int UNKNOWN = -1;
 
   private final EngineLoadView view;
   private final boolean inRegion;
-  private int place = UNKNOWN;
-  private int placeAmong = UNKNOWN;
-  private boolean everAsked;
-  private boolean underWay;
+  private int rank = UNKNOWN;
+  private int rankAmong = UNKNOWN;
+  private boolean everQueried;
+  private boolean inFlight;
   private boolean substitute;
-  private int lostInARow;
-  private long askedNanos;
+  private int consecutiveFailures;
+  private long queriedNanos;
   private long notBeforeNanos;
 
   LoadQuerySchedule(EngineLoadView view, boolean inRegion, long nowNanos) {
@@ -66,23 +66,23 @@
   }
 
   /** Whether the place was worked out among this many other nodes. */
-  boolean placedAmong(int nodes) {
-    return placeAmong == nodes;
+  boolean rankedAmong(int nodes) {
+    return rankAmong == nodes;
   }
 
   /**
    * Sets this node's place in the engine's order.
    *
-   * @param newPlace how many nodes come before this one
+   * @param newRank how many nodes come before this one
    * @param nodes the other nodes known then
    */
-  void place(int newPlace, int nodes) {
-    place = newPlace;
-    placeAmong = nodes;
+  void rank(int newRank, int nodes) {
+    rank = newRank;
+    rankAmong = nodes;
   }
 
-  int place() {
-    return place;
+  int rank() {
+    return rank;
   }
 
   /** Whether it is time to ask. */
@@ -92,43 +92,47 @@
 
   /** Whether asking now, with others, spares a notice of its own soon. */
   boolean nearlyDue(long nowNanos) {
-    return dueAfter((long) (NEARLY_DUE * intervalNanos(nowNanos)), nowNanos);
+    return dueAfter((long) (EARLY_QUERY_PART * intervalNanos(nowNanos)), nowNanos);
   }
 
   private boolean dueAfter(long intervalNanos, long nowNanos) {
-    if (underWay || place == UNKNOWN || nowNanos - notBeforeNanos < 0) {
+    if (inFlight || rank == UNKNOWN || nowNanos - notBeforeNanos < 0) {
       return false;
     }
-    if (everAsked && nowNanos - askedNanos < intervalNanos) {
+    if (everQueried && nowNanos - queriedNanos < intervalNanos) {
       return false;
     }
-    return place == 0 || ownTurn(nowNanos);
+    return rank == 0 || takeoverDue(nowNanos);
   }
 
-  private boolean ownTurn(long nowNanos) {
-    if (place >= FIRST_NODES && !view.toldWithin(REPORTS_NANOS, nowNanos)) {
+  private boolean takeoverDue(long nowNanos) {
+    if (rank >= PROBING_NODES && !view.reportedWithin(REPORTING_WITHIN_NANOS, nowNanos)) {
       return false;
     }
-    long usual = inRegion && view.toldLoaded() ? FAST_NANOS : SLOW_NANOS;
-    long patience = Math.max(usual, view.heardGapNanos()) + place * TURN_NANOS;
-    return view.silenceNanos(nowNanos) >= patience;
+    long interval =
+        inRegion && view.reportedLoaded() ? LOADED_INTERVAL_NANOS : UNLOADED_INTERVAL_NANOS;
+    long silenceLimit =
+        Math.max(interval, view.precedingNoticeIntervalNanos()) + rank * TAKEOVER_STEP_NANOS;
+    return view.silenceNanos(nowNanos) >= silenceLimit;
   }
 
   private long intervalNanos(long nowNanos) {
-    return inRegion && view.estimatedLoaded(nowNanos) ? FAST_NANOS : SLOW_NANOS;
+    return inRegion && view.estimatedLoaded(nowNanos)
+        ? LOADED_INTERVAL_NANOS
+        : UNLOADED_INTERVAL_NANOS;
   }
 
   /**
    * For how long the engine was not asked; the longest waits first where there is not room for all.
    */
-  long waitedNanos(long nowNanos) {
-    return everAsked ? nowNanos - askedNanos : Long.MAX_VALUE;
+  long sinceLastQueryNanos(long nowNanos) {
+    return everQueried ? nowNanos - queriedNanos : Long.MAX_VALUE;
   }
 
-  void asked(long nowNanos) {
-    everAsked = true;
-    underWay = true;
-    askedNanos = nowNanos;
+  void queryStarted(long nowNanos) {
+    everQueried = true;
+    inFlight = true;
+    queriedNanos = nowNanos;
   }
 
   /**
@@ -136,29 +140,29 @@
    *
    * @return whether this node now reports in another's stead, and did not before
    */
-  boolean answered() {
-    underWay = false;
-    lostInARow = 0;
-    boolean begins = place > 0 && !substitute;
-    substitute = place > 0;
+  boolean reportReceived() {
+    inFlight = false;
+    consecutiveFailures = 0;
+    boolean begins = rank > 0 && !substitute;
+    substitute = rank > 0;
     return begins;
   }
 
   /** The engine has no report to give. */
   void unavailable(long nowNanos) {
-    underWay = false;
+    inFlight = false;
     substitute = false;
-    notBeforeNanos = nowNanos + UNAVAILABLE_NANOS;
+    notBeforeNanos = nowNanos + UNAVAILABLE_RETRY_NANOS;
   }
 
   /** No answer came: the next round asks, later ones more and more rarely. */
-  void lost(long nowNanos) {
-    underWay = false;
-    int doublings = Math.min(MAX_DOUBLINGS, lostInARow);
-    lostInARow++;
+  void noResponse(long nowNanos) {
+    inFlight = false;
+    int doublings = Math.min(MAX_DOUBLINGS, consecutiveFailures);
+    consecutiveFailures++;
     notBeforeNanos = nowNanos;
     if (doublings > 0) {
-      notBeforeNanos += Math.min(LONGEST_BACKOFF_NANOS, FAST_NANOS << doublings);
+      notBeforeNanos += Math.min(MAX_BACKOFF_NANOS, LOADED_INTERVAL_NANOS << doublings);
     }
   }
 
@@ -167,17 +171,17 @@
    *
    * @return whether this node reported in its stead until now
    */
-  boolean heardBefore() {
+  boolean precedingNodeReported() {
     boolean ends = substitute;
     substitute = false;
     return ends;
   }
 
   /** Whether this node has reported of the engine lately. */
-  boolean reports(long nowNanos) {
-    return (place == 0 || substitute)
-        && everAsked
-        && lostInARow == 0
+  boolean isReporting(long nowNanos) {
+    return (rank == 0 || substitute)
+        && everQueried
+        && consecutiveFailures == 0
         && nowNanos - notBeforeNanos >= 0;
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReportClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReportClient.java
@@ -11,7 +11,7 @@
    * Asks an engine; its caller has no other question to it under way.
    *
    * @param engine the engine
-   * @param answer is called once, on the event loop, after a bounded time
+   * @param callback is called once, on the event loop, after a bounded time
    */
-  void query(Engine engine, Consumer<LoadQueryResult> answer);
+  void query(Engine engine, Consumer<LoadQueryResult> callback);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReporter.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReporter.java
@@ -20,10 +20,10 @@
   static final long TICK_MILLIS = 50;
 
   /** Bounds the time of one tick where many nodes and engines are known. */
-  private static final int PLACES_PER_TICK = 20;
+  private static final int RANKS_PER_TICK = 20;
 
   /** A region that loses many nodes at once must not fill the log. */
-  private static final int LINES_PER_SECOND = 20;
+  private static final int LOG_LINES_PER_SECOND = 20;
 
   private static final long TICKS_PER_SECOND = 1_000 / TICK_MILLIS;
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -38,9 +38,9 @@
   private final EventLoopLag stall;
   private final EventLoop eventLoop;
   private final GatewayLog log;
-  private final Map<EngineLoadView, LoadQuerySchedule> turns = new HashMap<>();
+  private final Map<EngineLoadView, LoadQuerySchedule> schedules = new HashMap<>();
   private long ticks;
-  private int linesLeft = LINES_PER_SECOND;
+  private int remainingLogLines = LOG_LINES_PER_SECOND;
 
   LoadReporter(
       EngineDirectory engines,
@@ -63,45 +63,45 @@
     this.stall = stall;
     this.eventLoop = eventLoop;
     this.log = log;
-    board.onHeardBefore(this::onHeardBefore);
+    board.onPrecedingNodeReport(this::onPrecedingNodeReport);
   }
 
   void tick() {
     long now = eventLoop.nanoTime();
-    stall.ticked(now);
+    stall.tick(now);
     if (ticks++ % TICKS_PER_SECOND == 0) {
-      linesLeft = LINES_PER_SECOND;
+      remainingLogLines = LOG_LINES_PER_SECOND;
       board.forgetRemoved();
-      turns.keySet().removeIf(view -> view.engine().removed());
+      schedules.keySet().removeIf(view -> view.engine().removed());
     }
     // A node that doesn't know the others yet would take itself for the first everywhere.
     if (peers.peersIfLoaded().isPresent()) {
-      askWhoIsDue(now);
+      queryDueEngines(now);
     }
     eventLoop.schedule(TICK_MILLIS, this::tick);
   }
 
-  private void askWhoIsDue(long now) {
+  private void queryDueEngines(long now) {
     int nodes = peers.peersInRegion().size();
-    int placesLeft = PLACES_PER_TICK;
+    int remainingRanks = RANKS_PER_TICK;
     List<LoadQuerySchedule> round = new ArrayList<>();
     boolean anyDue = false;
     for (Engine engine : engines.all()) {
       if (engine.record().draining()) {
         continue;
       }
-      LoadQuerySchedule turn = turnOf(engine, now);
-      if (!turn.placedAmong(nodes) && placesLeft > 0) {
-        placesLeft--;
-        turn.place(order.rankOfSelf(engine.record().id()), nodes);
+      LoadQuerySchedule schedule = scheduleOf(engine, now);
+      if (!schedule.rankedAmong(nodes) && remainingRanks > 0) {
+        remainingRanks--;
+        schedule.rank(order.rankOfSelf(engine.record().id()), nodes);
       }
-      if (turn.nearlyDue(now)) {
-        anyDue |= turn.due(now);
-        round.add(turn);
+      if (schedule.nearlyDue(now)) {
+        anyDue |= schedule.due(now);
+        round.add(schedule);
       }
     }
     if (anyDue) {
-      askRound(round, now);
+      queryRound(round, now);
     }
   }
 
@@ -109,109 +109,109 @@
    * Asks engines together, so that one notice tells of them. Those of which this node is the first
    * wait until there is room for all of them; the others get what is left.
    */
-  private void askRound(List<LoadQuerySchedule> round, long now) {
-    Comparator<LoadQuerySchedule> byPlace = Comparator.comparingInt(LoadQuerySchedule::place);
-    round.sort(byPlace.thenComparingLong(turn -> -turn.waitedNanos(now)));
+  private void queryRound(List<LoadQuerySchedule> round, long now) {
+    Comparator<LoadQuerySchedule> byRank = Comparator.comparingInt(LoadQuerySchedule::rank);
+    round.sort(byRank.thenComparingLong(schedule -> -schedule.sinceLastQueryNanos(now)));
     long ownBytes =
         round.stream()
-            .filter(turn -> turn.place() == 0)
-            .mapToLong(turn -> notices.entryBytes(turn.view().id()))
+            .filter(schedule -> schedule.rank() == 0)
+            .mapToLong(schedule -> notices.entryBytes(schedule.view().id()))
             .sum();
-    if (!notices.room(notices.roundBytes() + ownBytes)) {
+    if (!notices.hasBudget(notices.roundBytes() + ownBytes)) {
       return;
     }
     long shared = notices.roundBytes();
-    for (LoadQuerySchedule turn : round) {
-      long bytes = shared + notices.entryBytes(turn.view().id());
-      if (!notices.room(bytes)) {
+    for (LoadQuerySchedule schedule : round) {
+      long bytes = shared + notices.entryBytes(schedule.view().id());
+      if (!notices.hasBudget(bytes)) {
         return;
       }
       shared = 0;
-      ask(turn, bytes, now);
+      query(schedule, bytes, now);
     }
   }
 
-  private LoadQuerySchedule turnOf(Engine engine, long now) {
-    return turns.computeIfAbsent(
+  private LoadQuerySchedule scheduleOf(Engine engine, long now) {
+    return schedules.computeIfAbsent(
         board.viewOf(engine),
         view ->
             new LoadQuerySchedule(
                 view, topology.localityOf(engine.record().zone()).inRegion(), now));
   }
 
-  private void ask(LoadQuerySchedule turn, long reserved, long now) {
+  private void query(LoadQuerySchedule schedule, long reserved, long now) {
     notices.reserve(reserved);
-    turn.asked(now);
-    reports.query(turn.view().engine(), answer -> onAnswer(turn, reserved, answer));
+    schedule.queryStarted(now);
+    reports.query(schedule.view().engine(), result -> onResult(schedule, reserved, result));
   }
 
-  private void onAnswer(LoadQuerySchedule turn, long reserved, LoadQueryResult answer) {
+  private void onResult(LoadQuerySchedule schedule, long reserved, LoadQueryResult result) {
     long now = eventLoop.nanoTime();
-    if (answer instanceof LoadQueryResult.Reported reported) {
-      if (turn.answered()) {
-        logChange(turn, true);
+    if (result instanceof LoadQueryResult.Reported reported) {
+      if (schedule.reportReceived()) {
+        logChange(schedule, true);
       }
-      adopt(turn.view().id(), reported, reserved, now);
+      adopt(schedule.view().id(), reported, reserved, now);
       return;
     }
     notices.release(reserved);
-    if (answer instanceof LoadQueryResult.Unavailable unavailable) {
-      turn.unavailable(now);
-      logUnavailable(turn, unavailable.reason());
+    if (result instanceof LoadQueryResult.Unavailable unavailable) {
+      schedule.unavailable(now);
+      logUnavailable(schedule, unavailable.reason());
     } else {
-      turn.lost(now);
+      schedule.noResponse(now);
     }
   }
 
   /** The engine may have begun another life since it was asked, which this report tells first. */
   private void adopt(EngineId id, LoadQueryResult.Reported reported, long reserved, long now) {
     LoadReport report = reported.report();
-    if (!board.ofPresentLife(id, report.startMillis())) {
+    if (!board.isCurrentIncarnation(id, report.startMillis())) {
       notices.release(reserved);
       return;
     }
     board.viewOf(engines.find(id)).adopt(report, reported.asOfNanos(), now);
-    notices.tell(id, report, reported.asOfNanos(), reserved);
+    notices.publish(id, report, reported.asOfNanos(), reserved);
   }
 
-  private void onHeardBefore(EngineLoadView view) {
-    LoadQuerySchedule turn = turns.get(view);
-    if (turn != null && turn.heardBefore()) {
-      logChange(turn, false);
+  private void onPrecedingNodeReport(EngineLoadView view) {
+    LoadQuerySchedule schedule = schedules.get(view);
+    if (schedule != null && schedule.precedingNodeReported()) {
+      logChange(schedule, false);
     }
   }
 
-  private void logChange(LoadQuerySchedule turn, boolean begins) {
-    if (linesLeft-- > 0) {
+  private void logChange(LoadQuerySchedule schedule, boolean started) {
+    if (remainingLogLines-- > 0) {
       log.write(
           GatewayEvent.LOAD_REPORTER_CHANGED,
           "engine",
-          turn.view().id().value(),
+          schedule.view().id().value(),
           "place",
-          turn.place(),
+          schedule.rank(),
           "reports",
-          begins,
+          started,
           "silent_ms",
-          turn.view().silenceNanos(eventLoop.nanoTime()) / NANOS_PER_MILLI);
+          schedule.view().silenceNanos(eventLoop.nanoTime()) / NANOS_PER_MILLI);
     }
   }
 
-  private void logUnavailable(LoadQuerySchedule turn, String reason) {
-    if (linesLeft-- > 0) {
+  private void logUnavailable(LoadQuerySchedule schedule, String reason) {
+    if (remainingLogLines-- > 0) {
       log.write(
           GatewayEvent.LOAD_REPORT_UNAVAILABLE,
           "engine",
-          turn.view().id().value(),
+          schedule.view().id().value(),
           "reason",
           reason,
           "next_ms",
-          LoadQuerySchedule.UNAVAILABLE_NANOS / NANOS_PER_MILLI);
+          LoadQuerySchedule.UNAVAILABLE_RETRY_NANOS / NANOS_PER_MILLI);
     }
   }
 
   /** Engines of which this node has told lately. */
   long enginesReported() {
     long now = eventLoop.nanoTime();
-    return turns.values().stream().filter(turn -> turn.reports(now)).count();
+    return schedules.values().stream().filter(schedule -> schedule.isReporting(now)).count();
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadSharing.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadSharing.java
@@ -33,7 +33,7 @@
    *
    * @param self this node
    * @param reports asks engines
-   * @param distance how far other nodes are
+   * @param latency how far other nodes are
    */
   public LoadSharing(
       PeerAddress self,
@@ -43,7 +43,7 @@
       PeerMessageCodec codec,
       Topology topology,
       LoadReportClient reports,
-      PeerLatency distance,
+      PeerLatency latency,
       EventLoop eventLoop,
       GatewayLog log) {
     this.engines = engines;
@@ -51,7 +51,7 @@
     RendezvousOrder order = new RendezvousOrder(self, peers::peersInRegion);
     EventLoopLag stall =
         new EventLoopLag(LoadReporter.TICK_MILLIS * NANOS_PER_MILLI, eventLoop.nanoTime());
-    this.board = new LoadView(engines, order, distance, eventLoop, stall);
+    this.board = new LoadView(engines, order, latency, eventLoop, stall);
     this.notices = new LoadNoticePublisher(peers, transport, codec, eventLoop);
     this.reporter =
         new LoadReporter(
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadView.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadView.java
@@ -28,31 +28,31 @@
   private final EventLoop eventLoop;
   private final EventLoopLag stall;
   private final Map<String, EngineLoadView> viewById = new HashMap<>();
-  private Consumer<EngineLoadView> onHeardBefore = view -> {};
+  private Consumer<EngineLoadView> onPrecedingNodeReport = view -> {};
   private long notices;
 
   /**
    * Creates a board that knows nothing.
    *
    * @param order tells which nodes come before this one
-   * @param distance the time to a node and back bounds the way of its datagrams
+   * @param latency the time to a node and back bounds the way of its datagrams
    */
   LoadView(
       EngineDirectory engines,
       RendezvousOrder order,
-      PeerLatency distance,
+      PeerLatency latency,
       EventLoop eventLoop,
       EventLoopLag stall) {
     this.engines = engines;
     this.order = order;
-    this.distance = distance;
+    this.distance = latency;
     this.eventLoop = eventLoop;
     this.stall = stall;
   }
 
   /** Sets who hears that a node that comes before this one told of an engine. */
-  void onHeardBefore(Consumer<EngineLoadView> listener) {
-    onHeardBefore = listener;
+  void onPrecedingNodeReport(Consumer<EngineLoadView> listener) {
+    onPrecedingNodeReport = listener;
   }
 
   /** What is known about an engine's reports. */
@@ -69,10 +69,10 @@
    * Whether a report is of the present life of a known engine. One of a later life makes all that
    * is believed of the engine void.
    *
-   * @param bornMillis when the life that reports began, in Unix milliseconds; 0 if it did not say
+   * @param startMillis when the life that reports began, in Unix milliseconds; 0 if it did not say
    */
-  boolean ofPresentLife(EngineId engine, long bornMillis) {
-    return engines.adoptStartTime(engine, bornMillis, eventLoop.nanoTime());
+  boolean isCurrentIncarnation(EngineId engine, long startMillis) {
+    return engines.adoptStartTime(engine, startMillis, eventLoop.nanoTime());
   }
 
   /** What is known about the reports of all engines that were seen. */
@@ -94,23 +94,23 @@
   public void onMessage(PeerAddress sender, PeerMessage message) {
     if (message instanceof PeerMessage.EngineLoadNotice notice) {
       notices++;
-      notice.engines().forEach(told -> onTold(sender, told));
+      notice.engines().forEach(report -> adopt(sender, report));
     }
   }
 
-  private void onTold(PeerAddress sender, PeerMessage.ReportedLoad told) {
-    if (!ofPresentLife(told.engineId(), told.startMillis())) {
+  private void adopt(PeerAddress sender, PeerMessage.ReportedLoad report) {
+    if (!isCurrentIncarnation(report.engineId(), report.startMillis())) {
       return;
     }
-    Engine engine = engines.find(told.engineId());
+    Engine engine = engines.find(report.engineId());
     long now = eventLoop.nanoTime();
-    long ageMillis = told.ageMillis() + distance.roundTripMillis(sender);
-    long asOf = now - ageMillis * NANOS_PER_MILLI - stall.lateNanos(now);
+    long ageMillis = report.ageMillis() + distance.roundTripMillis(sender);
+    long asOf = now - ageMillis * NANOS_PER_MILLI - stall.lagNanos(now);
     EngineLoadView view = viewOf(engine);
-    boolean adopted = view.adopt(new LoadReport(told.load(), told.startMillis()), asOf, now);
+    boolean adopted = view.adopt(new LoadReport(report.load(), report.startMillis()), asOf, now);
     if (adopted && order.outranksSelf(sender, view.id().value())) {
-      view.heardBefore(now);
-      onHeardBefore.accept(view);
+      view.precedingNodeReported(now);
+      onPrecedingNodeReport.accept(view);
     }
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/BackendSelector.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/BackendSelector.java
@@ -28,10 +28,10 @@
     if (total <= 0) {
       return backends.get(0).service();
     }
-    return key == null ? byRoundRobin(route, total) : byKey(backends, total, key);
+    return key == null ? selectByRoundRobin(route, total) : selectByKey(backends, total, key);
   }
 
-  private static String byKey(List<Backend> backends, int total, String key) {
+  private static String selectByKey(List<Backend> backends, int total, String key) {
     int point = Math.floorMod(StableHash.of(key), total);
     for (Backend backend : backends) {
       point -= backend.weight();
@@ -42,7 +42,7 @@
     return backends.get(0).service();
   }
 
-  private String byRoundRobin(Route route, int total) {
+  private String selectByRoundRobin(Route route, int total) {
     List<Backend> backends = route.backends();
     long[] credit = creditByRoute.get(route.name());
     if (credit == null || credit.length != backends.size()) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/EngineSelector.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/EngineSelector.java
@@ -27,13 +27,13 @@
    * What reading counts for in a choice, as a multiple of its own time: while an engine reads, all
    * that run there stand still.
    */
-  private static final double READING_WEIGHT = 2.5;
+  private static final double PREFILL_WEIGHT = 2.5;
 
   /** What an observed wait counts for; it is noisy and may be over when the request arrives. */
   private static final double WAIT_WEIGHT = 0.5;
 
   /** An engine counts as slow from this multiple of the usual time between events. */
-  private static final double SLOW_PACE = 1.6;
+  private static final double SLOW_FACTOR = 1.6;
 
   /**
    * What a stream that this process has under way at an engine adds to the next one there, as a
@@ -46,7 +46,7 @@
    * For streams that belong to no program an engine's pace counts in full once it differs from the
    * usual one by this factor, either way; below, the difference is that of what happens to run.
    */
-  private static final double EQUAL_PACE = 1.25;
+  private static final double EQUAL_FACTOR = 1.25;
 
   /**
    * What speaks against an engine that is expected to be full. More than any wait that is worth its
@@ -55,20 +55,20 @@
   private static final double FULL_PENALTY_MILLIS = 10_000;
 
   /** What bytes to another region count for. */
-  private static final double OTHER_REGION_MILLIS = 4.0;
+  private static final double OTHER_REGION_TRANSFER_MILLIS = 4.0;
 
   /**
    * What the way to another region and back counts for a stream, as a multiple of itself. A line of
    * turns that moves reads its prompt anew once and then pays the way with each turn, so it leaves
    * its region for a wait that is longer than several ways, and returns when that is over.
    */
-  private static final double REGION_WAY_WEIGHT = 2.0;
+  private static final double OTHER_REGION_ROUND_TRIP_WEIGHT = 2.0;
 
   /** What a home is worth, in prompts of one turn that need not be read again. */
   private static final double HOME_BONUS_TURNS = 4.0;
 
   /** Engines that are this close to each other, in places of their own work, count as equal. */
-  private static final double TIE_WIDTH = 0.5;
+  private static final double TIE_WIDTH_SLOTS = 0.5;
 
   private final EngineDirectory directory;
   private final Topology topology;
@@ -76,7 +76,7 @@
   private final EnginePolicy[] policies;
   private final RandomGenerator random;
   private final WaitPrediction waitPrediction;
-  private double[] gapsMillis = new double[0];
+  private double[] sortedInterEventMillis = new double[0];
 
   /** Engines that may run the request in hand; kept between choices, which come one at a time. */
   private final List<Engine> candidates = new ArrayList<>();
@@ -179,23 +179,24 @@
   public Choice choose(Criteria criteria, Set<String> excluded, long nowNanos) {
     collectCandidates(criteria, excluded, nowNanos);
     Engine home = home(criteria, nowNanos);
-    boolean keptSomewhere = keptSomewhere(criteria);
-    double usualGapMillis = usualGapMillis(criteria.service(), nowNanos);
-    waitPrediction.survey(candidates, !criteria.prompt().isEmpty(), nowNanos);
+    boolean cachedAnywhere = cachedAnywhere(criteria);
+    double medianMillis = medianInterEventMillis(criteria.service(), nowNanos);
+    waitPrediction.begin(candidates, !criteria.prompt().isEmpty(), nowNanos);
     Engine best = null;
     double bestMillis = 0;
-    double nearMillis = -1;
+    double inRegionMillis = -1;
     for (Engine engine : candidates) {
-      double millis = predictedMillis(engine, criteria, usualGapMillis, nowNanos);
+      double millis = predictedMillis(engine, criteria, medianMillis, nowNanos);
       if (engine == home) {
-        millis -= keptSomewhere ? homeBonusMillis(engine) : assumedAtHomeMillis(engine, criteria);
+        millis -=
+            cachedAnywhere ? homeBonusMillis(engine) : assumedHomeCacheMillis(engine, criteria);
       }
       if (best == null || millis < bestMillis) {
         best = engine;
         bestMillis = millis;
       }
-      if (locality(engine).inRegion() && (nearMillis < 0 || millis < nearMillis)) {
-        nearMillis = Math.max(0, millis);
+      if (locality(engine).inRegion() && (inRegionMillis < 0 || millis < inRegionMillis)) {
+        inRegionMillis = Math.max(0, millis);
       }
     }
     if (best == null || best.capacity().full(nowNanos)) {
@@ -204,7 +205,7 @@
     for (EnginePolicy policy : policies) {
       policy.onSelected(best, nowNanos);
     }
-    return new Choice(best, bestMillis, nearMillis, locality(best));
+    return new Choice(best, bestMillis, inRegionMillis, locality(best));
   }
 
   /**
@@ -216,23 +217,24 @@
    */
   public long nextCapacityNanos(Criteria criteria, Set<String> excluded, long nowNanos) {
     collectCandidates(criteria, excluded, nowNanos);
-    double answerMillis = usualResponseMillis(criteria);
+    double responseMillis = usualResponseMillis(criteria);
     long earliest = Long.MAX_VALUE;
-    long anyNanos = Long.MAX_VALUE;
+    long earliestOfAny = Long.MAX_VALUE;
     for (Engine engine : candidates) {
       long nextNanos = engine.capacity().nextCapacityNanos(nowNanos);
-      anyNanos = Math.min(anyNanos, nextNanos);
-      if (standingMillis(engine, criteria, answerMillis, nowNanos) < FULL_PENALTY_MILLIS) {
+      earliestOfAny = Math.min(earliestOfAny, nextNanos);
+      if (healthAndPolicyPenaltyMillis(engine, criteria, responseMillis, nowNanos)
+          < FULL_PENALTY_MILLIS) {
         earliest = Math.min(earliest, nextNanos);
       }
     }
-    return earliest == Long.MAX_VALUE ? anyNanos : earliest;
+    return earliest == Long.MAX_VALUE ? earliestOfAny : earliest;
   }
 
   /** What speaks against an engine whatever its load: how far it is trusted, and the policies. */
-  private double standingMillis(
-      Engine engine, Criteria criteria, double answerMillis, long nowNanos) {
-    double millis = engine.health(nowNanos).penaltyMillis(criteria.repeatable(), answerMillis);
+  private double healthAndPolicyPenaltyMillis(
+      Engine engine, Criteria criteria, double responseMillis, long nowNanos) {
+    double millis = engine.health(nowNanos).penaltyMillis(criteria.repeatable(), responseMillis);
     for (EnginePolicy policy : policies) {
       millis += policy.penaltyMillis(engine, criteria, nowNanos);
     }
@@ -250,7 +252,7 @@
   private void collectCandidates(Criteria criteria, Set<String> excluded, long nowNanos) {
     candidates.clear();
     for (Engine engine : directory.ofService(criteria.service())) {
-      if (takesWork(engine, excluded) && allowed(engine, criteria, nowNanos)) {
+      if (acceptsWork(engine, excluded) && allowed(engine, criteria, nowNanos)) {
         candidates.add(engine);
       }
     }
@@ -265,7 +267,7 @@
     return true;
   }
 
-  private static boolean takesWork(Engine engine, Set<String> excluded) {
+  private static boolean acceptsWork(Engine engine, Set<String> excluded) {
     return !engine.record().draining() && !excluded.contains(engine.record().id());
   }
 
@@ -274,43 +276,45 @@
   }
 
   /** The median time between events over the engines of a service. */
-  private double usualGapMillis(String service, long nowNanos) {
+  private double medianInterEventMillis(String service, long nowNanos) {
     List<Engine> engines = directory.ofService(service);
     int count = engines.size();
-    if (gapsMillis.length < count) {
-      gapsMillis = new double[count];
+    if (sortedInterEventMillis.length < count) {
+      sortedInterEventMillis = new double[count];
     }
     for (int i = 0; i < count; i++) {
-      gapsMillis[i] = engines.get(i).observedInterEventMillis(nowNanos);
+      sortedInterEventMillis[i] = engines.get(i).observedInterEventMillis(nowNanos);
     }
-    Arrays.sort(gapsMillis, 0, count);
-    return count == 0 ? 0 : gapsMillis[(count - 1) / 2];
+    Arrays.sort(sortedInterEventMillis, 0, count);
+    return count == 0 ? 0 : sortedInterEventMillis[(count - 1) / 2];
   }
 
   private double predictedMillis(
-      Engine engine, Criteria criteria, double usualGapMillis, long nowNanos) {
+      Engine engine, Criteria criteria, double medianMillis, long nowNanos) {
     ServicePerformance performance = engine.performance();
     boolean stream = !criteria.prompt().isEmpty();
-    double answerMillis = stream ? performance.streamMillis() : performance.nonStreamMillis();
+    double responseMillis = stream ? performance.streamMillis() : performance.nonStreamMillis();
     double millis = stream ? 0 : tieMillis(engine);
     if (stream) {
-      millis += engine.inFlight() * answerMillis * STREAM_IN_FLIGHT_WEIGHT;
-      int unread = engine.cachedPrefixes().uncachedTokens(criteria.prompt());
-      millis += performance.prefillMillis(unread) * READING_WEIGHT;
-      boolean free = criteria.homeKey() == null && waitPrediction.known(engine);
+      millis += engine.inFlight() * responseMillis * STREAM_IN_FLIGHT_WEIGHT;
+      int uncachedTokens = engine.cachedPrefixes().uncachedTokens(criteria.prompt());
+      millis += performance.prefillMillis(uncachedTokens) * PREFILL_WEIGHT;
+      boolean independent = criteria.homeKey() == null && waitPrediction.known(engine);
       millis +=
-          free ? freeWaitMillis(engine, criteria) : programWaitMillis(engine, criteria, nowNanos);
-      double excessGap = excessGapMillis(engine, free, usualGapMillis, nowNanos);
-      millis += excessGap * performance.eventsPerStream();
+          independent
+              ? independentWaitMillis(engine, criteria)
+              : programWaitMillis(engine, criteria, nowNanos);
+      double excessMillis = excessInterEventMillis(engine, independent, medianMillis, nowNanos);
+      millis += excessMillis * performance.eventsPerStream();
     } else {
-      millis += engine.inFlight() * placeMillis(engine);
+      millis += engine.inFlight() * slotMillis(engine);
       millis += waitPrediction.known(engine) ? waitPrediction.expectedMillis(engine) : 0;
     }
-    millis += wayMillis(engine, stream);
+    millis += networkMillis(engine, stream);
     if (engine.capacity().full(nowNanos)) {
       millis += FULL_PENALTY_MILLIS;
     }
-    return millis + standingMillis(engine, criteria, answerMillis, nowNanos);
+    return millis + healthAndPolicyPenaltyMillis(engine, criteria, responseMillis, nowNanos);
   }
 
   /**
@@ -320,53 +324,56 @@
    * all of them slower.
    */
   private double programWaitMillis(Engine engine, Criteria criteria, long nowNanos) {
-    double seenMillis = engine.waitMillis(nowNanos) * WAIT_WEIGHT;
+    double observedMillis = engine.waitMillis(nowNanos) * WAIT_WEIGHT;
     if (!waitPrediction.known(engine)) {
-      return seenMillis;
+      return observedMillis;
     }
     int tokens = PromptPart.totalTokens(criteria.prompt());
-    double readingMillis = engine.performance().prefillMillis(2.0 * tokens) * READING_WEIGHT;
-    return Math.max(seenMillis, waitPrediction.reportedMillis(engine) - readingMillis);
+    double prefillMillis = engine.performance().prefillMillis(2.0 * tokens) * PREFILL_WEIGHT;
+    return Math.max(observedMillis, waitPrediction.reportedMillis(engine) - prefillMillis);
   }
 
   /** The wait of a stream that belongs to no program, and so may go wherever there is room. */
-  private double freeWaitMillis(Engine engine, Criteria criteria) {
+  private double independentWaitMillis(Engine engine, Criteria criteria) {
     if (engine.cachedPrefixes().containsOwnPart(criteria.prompt())) {
       return waitPrediction.reportedMillis(engine);
     }
-    double placeMillis = engine.performance().streamMillis() / slots(engine);
-    double tieMillis = random.nextDouble() * TIE_WIDTH * placeMillis;
+    double slotMillis = engine.performance().streamMillis() / slots(engine);
+    double tieMillis = random.nextDouble() * TIE_WIDTH_SLOTS * slotMillis;
     return waitPrediction.expectedMillis(engine) + tieMillis;
   }
 
   /**
    * What an engine needs for an event beyond the usual time.
    *
-   * @param free whether the stream may go wherever there is room; negative then if it is faster
+   * @param independent whether the stream may go wherever there is room; negative then if it is
+   *     faster
    */
-  private static double excessGapMillis(
-      Engine engine, boolean free, double usualGapMillis, long nowNanos) {
-    if (!free) {
-      return Math.max(0, engine.observedInterEventMillis(nowNanos) - usualGapMillis * SLOW_PACE);
+  private static double excessInterEventMillis(
+      Engine engine, boolean independent, double medianMillis, long nowNanos) {
+    if (!independent) {
+      return Math.max(0, engine.observedInterEventMillis(nowNanos) - medianMillis * SLOW_FACTOR);
     }
-    double gapMillis = engine.interEventMillis(nowNanos);
+    double interEventMillis = engine.interEventMillis(nowNanos);
     boolean equal =
-        gapMillis < usualGapMillis * EQUAL_PACE && gapMillis * EQUAL_PACE > usualGapMillis;
-    return equal ? 0 : gapMillis - usualGapMillis;
+        interEventMillis < medianMillis * EQUAL_FACTOR
+            && interEventMillis * EQUAL_FACTOR > medianMillis;
+    return equal ? 0 : interEventMillis - medianMillis;
   }
 
-  private double wayMillis(Engine engine, boolean stream) {
+  private double networkMillis(Engine engine, boolean stream) {
     return switch (locality(engine)) {
       case SAME_ZONE -> 0;
       case SAME_REGION -> roundTrips.millisTo(engine.record().zone());
       case OTHER_REGION ->
-          OTHER_REGION_MILLIS
-              + roundTrips.millisTo(engine.record().zone()) * (stream ? REGION_WAY_WEIGHT : 1);
+          OTHER_REGION_TRANSFER_MILLIS
+              + roundTrips.millisTo(engine.record().zone())
+                  * (stream ? OTHER_REGION_ROUND_TRIP_WEIGHT : 1);
     };
   }
 
   /** The time after which an engine that is full is expected to have a place again. */
-  private static double placeMillis(Engine engine) {
+  private static double slotMillis(Engine engine) {
     return engine.performance().nonStreamMillis() / slots(engine);
   }
 
@@ -375,11 +382,11 @@
   }
 
   private double tieMillis(Engine engine) {
-    return random.nextDouble() * TIE_WIDTH * placeMillis(engine);
+    return random.nextDouble() * TIE_WIDTH_SLOTS * slotMillis(engine);
   }
 
   /** Whether an engine is known here to keep something of the prompt's own, last part. */
-  private boolean keptSomewhere(Criteria criteria) {
+  private boolean cachedAnywhere(Criteria criteria) {
     if (criteria.prompt().isEmpty()) {
       return true;
     }
@@ -393,15 +400,15 @@
 
   private static double homeBonusMillis(Engine home) {
     ServicePerformance performance = home.performance();
-    return performance.prefillMillis(performance.newTokens()) * HOME_BONUS_TURNS * READING_WEIGHT;
+    return performance.prefillMillis(performance.newTokens()) * HOME_BONUS_TURNS * PREFILL_WEIGHT;
   }
 
   /** What earlier turns through other processes are assumed to have left at the home. */
-  private static double assumedAtHomeMillis(Engine home, Criteria criteria) {
+  private static double assumedHomeCacheMillis(Engine home, Criteria criteria) {
     ServicePerformance performance = home.performance();
     int uncached = home.cachedPrefixes().uncachedTokens(criteria.prompt());
-    double assumedKept = Math.max(0, uncached - performance.newTokens());
-    return homeBonusMillis(home) + performance.prefillMillis(assumedKept) * READING_WEIGHT;
+    double assumedCached = Math.max(0, uncached - performance.newTokens());
+    return homeBonusMillis(home) + performance.prefillMillis(assumedCached) * PREFILL_WEIGHT;
   }
 
   /**
@@ -412,25 +419,25 @@
     if (criteria.homeKey() == null) {
       return null;
     }
-    Engine near = null;
+    Engine inRegion = null;
     Engine anywhere = null;
-    int highestNear = 0;
+    int highestInRegion = 0;
     int highest = 0;
     for (Engine engine : candidates) {
       if (!mayBeHome(engine, criteria, nowNanos)) {
         continue;
       }
       int rank = StableHash.of(engine.record().id(), criteria.homeKey());
-      if (locality(engine).inRegion() && (near == null || rank > highestNear)) {
-        near = engine;
-        highestNear = rank;
+      if (locality(engine).inRegion() && (inRegion == null || rank > highestInRegion)) {
+        inRegion = engine;
+        highestInRegion = rank;
       }
       if (anywhere == null || rank > highest) {
         anywhere = engine;
         highest = rank;
       }
     }
-    return near != null ? near : anywhere;
+    return inRegion != null ? inRegion : anywhere;
   }
 
   private boolean mayBeHome(Engine engine, Criteria criteria, long nowNanos) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/MemoryPolicy.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/MemoryPolicy.java
@@ -36,21 +36,21 @@
     if (criteria.homeKey() != null) {
       return 0;
     }
-    double leftTokens = (1 - engine.load().memoryShare(nowNanos)) * totalTokens;
-    double needTokens = neededTokens(criteria);
-    if (needTokens <= leftTokens) {
+    double freeTokens = (1 - engine.load().memoryShare(nowNanos)) * totalTokens;
+    double requiredTokens = requiredTokens(criteria);
+    if (requiredTokens <= freeTokens) {
       return 0;
     }
     ServicePerformance performance = engine.performance();
     double preemptedMillis = performance.prefillMillis(promptTokens) + performance.streamMillis();
-    return preemptedMillis * (1 + (needTokens - leftTokens) / needTokens);
+    return preemptedMillis * (1 + (requiredTokens - freeTokens) / requiredTokens);
   }
 
   /**
    * The own part, which may have given way, and the output. Parts that are shared are kept for
    * other requests as well, also where this process has not seen it.
    */
-  private static int neededTokens(EngineSelector.Criteria criteria) {
+  private static int requiredTokens(EngineSelector.Criteria criteria) {
     List<PromptPart> prompt = criteria.prompt();
     return prompt.get(prompt.size() - 1).tokens() + criteria.outputTokens();
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/SlowHomePolicy.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/SlowHomePolicy.java
@@ -18,18 +18,18 @@
  */
 public final class SlowHomePolicy implements EnginePolicy {
   /** A home may be left from this multiple of the usual time between events. */
-  private static final double SLOW_PACE = 1.6;
+  private static final double LEAVE_FACTOR = 1.6;
 
   /** It is returned to below this one. */
-  private static final double RETURN_PACE = 1.25;
+  private static final double RETURN_FACTOR = 1.25;
 
   /** The turns that a program usually has before it. */
-  private static final double TURNS_LEFT = 4;
+  private static final double REMAINING_TURNS = 4;
 
   /** About the time of a program: programs that moved are not moved back within it. */
-  private static final long AWAY_NANOS = 4_000_000_000L;
+  private static final long MIN_AWAY_NANOS = 4_000_000_000L;
 
-  private static final long LOG_NANOS = 1_000_000_000L;
+  private static final long LOG_INTERVAL_NANOS = 1_000_000_000L;
 
   /** More engines than are slow at a time; those that were left first are forgotten first. */
   private static final int MAX_ENGINES = 4_096;
@@ -70,9 +70,9 @@
     }
     LeftHome home = homes.isEmpty() ? null : homes.get(engine.record().id());
     if (home != null && home.left) {
-      return returns(engine, home, nowNanos);
+      return returnIfRecovered(engine, home, nowNanos);
     }
-    if (!worthLeaving(engine, criteria, nowNanos)) {
+    if (!leavingSavesTime(engine, criteria, nowNanos)) {
       return true;
     }
     LeftHome leaving = homes.computeIfAbsent(engine.record().id(), id -> new LeftHome());
@@ -82,9 +82,9 @@
     return false;
   }
 
-  private boolean returns(Engine engine, LeftHome home, long nowNanos) {
-    boolean slow = pace(engine, nowNanos) >= RETURN_PACE;
-    if (slow || nowNanos - home.leftNanos < AWAY_NANOS) {
+  private boolean returnIfRecovered(Engine engine, LeftHome home, long nowNanos) {
+    boolean slow = slowdown(engine, nowNanos) >= RETURN_FACTOR;
+    if (slow || nowNanos - home.leftNanos < MIN_AWAY_NANOS) {
       return false;
     }
     home.left = false;
@@ -92,19 +92,19 @@
     return true;
   }
 
-  private static boolean worthLeaving(
+  private static boolean leavingSavesTime(
       Engine engine, EngineSelector.Criteria criteria, long nowNanos) {
-    if (pace(engine, nowNanos) < SLOW_PACE) {
+    if (slowdown(engine, nowNanos) < LEAVE_FACTOR) {
       return false;
     }
     ServicePerformance performance = engine.performance();
     double savedMillis = streamMillis(engine, nowNanos) - performance.streamMillis();
     int tokens = PromptPart.totalTokens(criteria.prompt());
-    return savedMillis * TURNS_LEFT > performance.prefillMillis(tokens);
+    return savedMillis * REMAINING_TURNS > performance.prefillMillis(tokens);
   }
 
   /** The time between two events of its next stream, as a multiple of the usual one. */
-  private static double pace(Engine engine, long nowNanos) {
+  private static double slowdown(Engine engine, long nowNanos) {
     return engine.interEventMillis(nowNanos) / engine.performance().interEventMillis();
   }
 
@@ -113,7 +113,7 @@
   }
 
   private void logOnceASecond(GatewayEvent event, Engine engine, LeftHome home, long nowNanos) {
-    if (home.logged && nowNanos - home.loggedNanos < LOG_NANOS) {
+    if (home.logged && nowNanos - home.loggedNanos < LOG_INTERVAL_NANOS) {
       return;
     }
     home.logged = true;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/WaitPrediction.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/WaitPrediction.java
@@ -38,7 +38,7 @@
    * @param engines those that may run the request
    * @param stream whether the request is a stream
    */
-  void survey(List<Engine> engines, boolean stream, long nowNanos) {
+  void begin(List<Engine> engines, boolean stream, long nowNanos) {
     this.stream = stream;
     this.nowNanos = nowNanos;
     running = 0;
@@ -61,19 +61,22 @@
 
   /** The wait at an engine whose load is known, as the view has it, in milliseconds. */
   double reportedMillis(Engine engine) {
-    return engine.load().waiting(slots(engine), nowNanos) * placeMillis(engine);
+    return engine.load().waiting(slots(engine), nowNanos) * slotMillis(engine);
   }
 
   /** The wait at an engine whose load is known, for a request that has no tie to it. */
   double expectedMillis(Engine engine) {
     double reported = reportedMillis(engine);
     boolean shorter = reported <= meanMillis;
-    double room = Math.abs(reported - meanMillis) / placeMillis(engine);
+    double difference = Math.abs(reported - meanMillis) / slotMillis(engine);
     if (shorter) {
-      room += Math.max(0, slots(engine) - engine.load().requests(nowNanos));
+      difference += Math.max(0, slots(engine) - engine.load().requests(nowNanos));
     }
-    double flow = (shorter ? running : running(engine)) * ageMillis(engine) / answerMillis(engine);
-    return room >= flow || random.nextDouble() * flow < room ? reported : meanMillis;
+    double arrivals =
+        (shorter ? running : running(engine)) * ageMillis(engine) / responseMillis(engine);
+    return difference >= arrivals || random.nextDouble() * arrivals < difference
+        ? reported
+        : meanMillis;
   }
 
   private int running(Engine engine) {
@@ -85,11 +88,11 @@
   }
 
   /** The usual time until one of an engine's places comes free while all are taken. */
-  private double placeMillis(Engine engine) {
-    return answerMillis(engine) / slots(engine);
+  private double slotMillis(Engine engine) {
+    return responseMillis(engine) / slots(engine);
   }
 
-  private double answerMillis(Engine engine) {
+  private double responseMillis(Engine engine) {
     double millis =
         stream
             ? engine.performance().eventsPerStream() * engine.interEventMillis(nowNanos)
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/urgency/ProgramUrgency.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/urgency/ProgramUrgency.java
@@ -21,24 +21,24 @@
    * One in so many requests of a less urgent kind is taken for one of the most urgent, so that its
    * kind is served at least a third as often as the most urgent one of its standing.
    */
-  static final int FAVOURED_ONE_IN = 3;
+  static final int PROMOTED_ONE_IN = 3;
 
   /** A program with less than this part of its time left is ending. */
-  private static final double ENDING_PART = 1.0 / 3;
+  private static final double NEAR_TARGET_PART = 1.0 / 3;
 
   /**
    * A program that is new here, but has less than this part of the usual time left, has most likely
    * begun at another node.
    */
-  private static final double OPENING_PART = 0.5;
+  private static final double FIRST_TURN_PART = 0.5;
 
   /** A program is overdue once it has taken so many times the time that it had. */
-  private static final double OVERDUE_TIMES = 2;
+  private static final double OVERDUE_FACTOR = 2;
 
   /** Programs that are remembered; those unheard of for longest go first. */
   private static final int MAX_PROGRAMS = 1_024;
 
-  private final FinishTargetByRoute aims = new FinishTargetByRoute();
+  private final FinishTargetByRoute latencyTargets = new FinishTargetByRoute();
   private final Map<String, SeenProgram> programs =
       new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
@@ -52,27 +52,28 @@
   /**
    * A program as it was when a request of it first came here.
    *
-   * @param openingRequest the request with which it began; null if it began elsewhere
-   * @param aimMillis the time that it had at its beginning, by estimate if it began elsewhere; 0 if
-   *     not known
+   * @param firstTurnRequestId the request with which it began; null if it began elsewhere
+   * @param targetMillis the time that it had at its beginning, by estimate if it began elsewhere; 0
+   *     if not known
    * @param seenNanos when it was first seen
    */
-  private record SeenProgram(String openingRequest, double aimMillis, long seenNanos) {
+  private record SeenProgram(String firstTurnRequestId, double targetMillis, long seenNanos) {
     boolean overdue(long nowNanos) {
-      return openingRequest != null && (nowNanos - seenNanos) / 1e6 > OVERDUE_TIMES * aimMillis;
+      return firstTurnRequestId != null
+          && (nowNanos - seenNanos) / 1e6 > OVERDUE_FACTOR * targetMillis;
     }
   }
 
   @Override
   public int rankOf(RankedRequest request, long nowNanos) {
-    return standingOf(request, nowNanos).rank(favoured(request) ? 0 : request.kindRank());
+    return levelOf(request, nowNanos).rank(promoted(request) ? 0 : request.kindRank());
   }
 
-  private static boolean favoured(RankedRequest request) {
-    return Math.floorMod(StableHash.of(request.requestId()), FAVOURED_ONE_IN) == 0;
+  private static boolean promoted(RankedRequest request) {
+    return Math.floorMod(StableHash.of(request.requestId()), PROMOTED_ONE_IN) == 0;
   }
 
-  private UrgencyLevel standingOf(RankedRequest request, long nowNanos) {
+  private UrgencyLevel levelOf(RankedRequest request, long nowNanos) {
     if (!request.timed()) {
       return request.stream() ? UrgencyLevel.STARTING : UrgencyLevel.UNDER_WAY;
     }
@@ -84,23 +85,24 @@
     if (request.remainingMillis() == 0) {
       return program.overdue(nowNanos) ? UrgencyLevel.OVERDUE : UrgencyLevel.LATE;
     }
-    if (request.requestId().equals(program.openingRequest())) {
+    if (request.requestId().equals(program.firstTurnRequestId())) {
       return UrgencyLevel.STARTING;
     }
-    return request.remainingMillis() < program.aimMillis() * ENDING_PART
+    return request.remainingMillis() < program.targetMillis() * NEAR_TARGET_PART
         ? UrgencyLevel.NEAR_TARGET
         : UrgencyLevel.UNDER_WAY;
   }
 
   private SeenProgram firstSeen(RankedRequest request, long nowNanos) {
-    long left = request.remainingMillis();
-    double usual = aims.usualMillis(request.route());
-    boolean opening = request.mayBeFirstTurn() && left > 0 && left >= usual * OPENING_PART;
-    if (request.mayBeFirstTurn() && left > 0) {
-      aims.observe(request.route(), left);
+    long remaining = request.remainingMillis();
+    double usualTarget = latencyTargets.usualMillis(request.route());
+    boolean firstTurn =
+        request.mayBeFirstTurn() && remaining > 0 && remaining >= usualTarget * FIRST_TURN_PART;
+    if (request.mayBeFirstTurn() && remaining > 0) {
+      latencyTargets.observe(request.route(), remaining);
     }
-    return opening
-        ? new SeenProgram(request.requestId(), left, nowNanos)
-        : new SeenProgram(null, usual == 0 ? 0 : Math.max(usual, left), nowNanos);
+    return firstTurn
+        ? new SeenProgram(request.requestId(), remaining, nowNanos)
+        : new SeenProgram(null, usualTarget == 0 ? 0 : Math.max(usualTarget, remaining), nowNanos);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/warmup/ColdSends.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/warmup/ColdSends.java
@@ -11,7 +11,7 @@
   private final long[] sentNanos = new long[ColdBounds.PER_NODE];
   private long count;
 
-  boolean room(long nowNanos) {
+  boolean hasBudget(long nowNanos) {
     return count < sentNanos.length || nowNanos - oldest() >= WINDOW_NANOS;
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/warmup/WarmupPolicy.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/warmup/WarmupPolicy.java
@@ -33,7 +33,7 @@
    */
   private static final double COLD_PENALTY_MILLIS = 50_000;
 
-  private static final long LOG_NANOS = 1_000_000_000L;
+  private static final long LOG_INTERVAL_NANOS = 1_000_000_000L;
 
   /** More engines than are cold at a time; those that became cold first are forgotten first. */
   private static final int MAX_COLD_ENGINES = 4_096;
@@ -94,7 +94,7 @@
       return true;
     }
     ColdEngine cold = coldEngines.computeIfAbsent(engine.record().id(), id -> new ColdEngine());
-    boolean allowed = sender(engine, cold) && cold.sends.room(nowNanos);
+    boolean allowed = sender(engine, cold) && cold.sends.hasBudget(nowNanos);
     if (!allowed) {
       heldBack++;
       logOnceASecond(engine, cold, nowNanos);
@@ -113,16 +113,17 @@
     if (engine.cold(nowNanos)) {
       return false;
     }
-    long backNanos = Math.min(engine.warmNanos(nowNanos), zoneBackNanos(engine, nowNanos));
-    if (backNanos == Long.MAX_VALUE) {
+    long availableNanos =
+        Math.min(engine.warmForNanos(nowNanos), sinceUncordonNanos(engine, nowNanos));
+    if (availableNanos == Long.MAX_VALUE) {
       return true;
     }
     long rampNanos = coldStartMillis(engine) * 1_000_000;
     double part = Integer.toUnsignedLong(StableHash.of(criteria.homeKey())) / 0x1p32;
-    return backNanos >= rampNanos * part;
+    return availableNanos >= rampNanos * part;
   }
 
-  private long zoneBackNanos(Engine engine, long nowNanos) {
+  private long sinceUncordonNanos(Engine engine, long nowNanos) {
     Long lifted = cordons.liftedNanos(engine.record().zone());
     return lifted == null ? Long.MAX_VALUE : nowNanos - lifted;
   }
@@ -156,21 +157,21 @@
     }
     if (cold.peersRanked != known.get().size()) {
       cold.peersRanked = known.get().size();
-      cold.sender = place(engine, known.get()) < nodes(engine);
+      cold.sender = rankOfSelf(engine, known.get()) < nodes(engine);
     }
     return cold.sender;
   }
 
-  private int place(Engine engine, Collection<PeerAddress> others) {
+  private int rankOfSelf(Engine engine, Collection<PeerAddress> others) {
     String id = engine.record().id();
     int own = StableHash.of(self.toString(), id);
-    int before = 0;
+    int preceding = 0;
     for (PeerAddress peer : others) {
       if (StableHash.of(peer.toString(), id) > own) {
-        before++;
+        preceding++;
       }
     }
-    return before;
+    return preceding;
   }
 
   private int nodes(Engine engine) {
@@ -183,7 +184,7 @@
   }
 
   private void logOnceASecond(Engine engine, ColdEngine cold, long nowNanos) {
-    if (cold.logged && nowNanos - cold.loggedNanos < LOG_NANOS) {
+    if (cold.logged && nowNanos - cold.loggedNanos < LOG_INTERVAL_NANOS) {
       return;
     }
     cold.logged = true;
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/cordon/TestZoneCordons.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/cordon/TestZoneCordons.java
@@ -15,30 +15,30 @@
 
 class TestZoneCordons {
   private static final long BOUND_MILLIS = 5_000;
-  private static final long LEAVE_MILLIS = (long) (BOUND_MILLIS * ZoneCordons.PART_OF_BOUND);
+  private static final long DRAIN_MILLIS = (long) (BOUND_MILLIS * ZoneCordons.PART_OF_BOUND);
 
   private final TestingEventLoop eventLoop = new TestingEventLoop();
   private final List<GatewayEvent> events = new ArrayList<>();
   private final ZoneCordons cordons =
       new ZoneCordons(BOUND_MILLIS, eventLoop, (event, fields) -> events.add(event));
 
-  private void provenNow() {
+  private void recordProofNow() {
     cordons.recordProof(eventLoop.nanoTime());
   }
 
   /** How many of some lines that are spread evenly may still have a turn in zone a. */
-  private int linesLeft() {
+  private int remainingConversations() {
     int left = 0;
     for (long hash = 0; hash < 100; hash++) {
       int spread = (int) (hash * 0x1_0000_0000L / 100);
-      left += cordons.openToLine("a", spread, eventLoop.nanoTime()) ? 1 : 0;
+      left += cordons.openToConversation("a", spread, eventLoop.nanoTime()) ? 1 : 0;
     }
     return left;
   }
 
   @Test
-  void newWorkStaysAwayAtOnceAndOtherZonesAreOpen() {
-    provenNow();
+  void newWorkAvoidsACordonedZoneAtOnceAndOtherZonesAreOpen() {
+    recordProofNow();
     cordons.cordon("a", 7);
     assertFalse(cordons.open("a"));
     assertTrue(cordons.open("b"));
@@ -47,51 +47,51 @@
   }
 
   @Test
-  void linesLeaveOneAfterTheOtherAndAllInTime() {
-    provenNow();
+  void conversationsLeaveOneAfterTheOtherAndAllInTime() {
+    recordProofNow();
     cordons.cordon("a", 7);
-    int before = linesLeft();
+    int before = remainingConversations();
     assertTrue(before >= 99, before + " lines");
     for (int step = 0; step < 4; step++) {
-      eventLoop.advance(LEAVE_MILLIS / 4);
-      int left = linesLeft();
+      eventLoop.advance(DRAIN_MILLIS / 4);
+      int left = remainingConversations();
       assertTrue(Math.abs(before - left - 25) <= 2, before + " then " + left);
       before = left;
     }
-    assertEquals(0, linesLeft());
+    assertEquals(0, remainingConversations());
   }
 
   @ParameterizedTest(name = "rows known {0} ms before the cordon is learnt: {1} ms left")
   @CsvSource({"0, 2500", "1000, 1500", "2500, 0", "60000, 0"})
-  void theTimeToLeaveIsCountedFromTheLastProof(long ageMillis, long leftMillis) {
-    provenNow();
+  void theTimeToLeaveCountsFromTheLastProof(long ageMillis, long leftMillis) {
+    recordProofNow();
     eventLoop.advance(ageMillis);
     cordons.cordon("a", 7);
     eventLoop.advance(Math.max(0, leftMillis - 1));
-    assertEquals(leftMillis > 0, cordons.openToLine("a", -1, eventLoop.nanoTime()));
+    assertEquals(leftMillis > 0, cordons.openToConversation("a", -1, eventLoop.nanoTime()));
     eventLoop.advance(1);
-    assertFalse(cordons.openToLine("a", -1, eventLoop.nanoTime()));
+    assertFalse(cordons.openToConversation("a", -1, eventLoop.nanoTime()));
   }
 
   @Test
-  void withoutAnyProofNoLineStays() {
+  void withoutAProofAllConversationsLeaveAtOnce() {
     cordons.cordon("a", 7);
-    assertEquals(0, linesLeft());
+    assertEquals(0, remainingConversations());
   }
 
   @Test
-  void aRowThatIsWrittenAgainGivesNoNewTime() {
-    provenNow();
+  void aRowThatIsWrittenAgainDoesNotExtendTheTimeToLeave() {
+    recordProofNow();
     cordons.cordon("a", 7);
-    eventLoop.advance(LEAVE_MILLIS);
-    provenNow();
+    eventLoop.advance(DRAIN_MILLIS);
+    recordProofNow();
     cordons.cordon("a", 8);
-    assertEquals(0, linesLeft());
+    assertEquals(0, remainingConversations());
   }
 
   @Test
-  void aListThatLacksAZoneGivesItBack() {
-    provenNow();
+  void aListWithoutAZoneEndsItsCordon() {
+    recordProofNow();
     cordons.cordon("a", 7);
     cordons.replaceAll(Map.of("b", 9L));
     assertTrue(cordons.open("a"));
@@ -104,8 +104,8 @@
   }
 
   @Test
-  void aZoneTakenOutAgainIsClosedAgain() {
-    provenNow();
+  void aZoneThatIsCordonedAgainIsClosedAgain() {
+    recordProofNow();
     cordons.cordon("a", 7);
     cordons.lift("a");
     assertTrue(cordons.open("a"));
@@ -114,7 +114,7 @@
   }
 
   @Test
-  void givingBackAZoneThatIsNotOutSaysNothing() {
+  void endingACordonThatDoesNotExistLogsNothing() {
     cordons.lift("a");
     assertEquals(List.of(), events);
     assertEquals(null, cordons.liftedNanos("a"));
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/directory/TestEngineEntryFaults.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/directory/TestEngineEntryFaults.java
@@ -16,7 +16,7 @@
   }
 
   @Test
-  void aFaultIsToldOnceUntilItChanges() {
+  void aFaultIsNewOnceUntilItChanges() {
     assertTrue(note("e", "zone"));
     assertFalse(note("e", "zone"));
     assertTrue(note("e", "slots"));
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void asManyEntriesAsAnyoneWritesTakeBoundedRoom() {
+  void theNumberOfFaultsIsLimited() {
     for (int i = 0; i < 100_000; i++) {
       note("e" + i, "zone");
     }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/directory/TestEngineRestart.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/directory/TestEngineRestart.java
@@ -18,8 +18,8 @@
 /** An engine starts again under its identifier, and messages of both lives arrive in any order. */
 class TestEngineRestart {
   private static final EngineId ID = new EngineId("e");
-  private static final long BORN = 1_700_000_000_000L;
-  private static final long BORN_AGAIN = BORN + 12_345;
+  private static final long START_MILLIS = 1_700_000_000_000L;
+  private static final long RESTART_MILLIS = START_MILLIS + 12_345;
   private static final long NO_OUTAGE = 0;
   private static final long NOW = 5_000_000_000L;
   private static final List<PromptPart> PROMPT = List.of(new PromptPart("a1", 800));
@@ -47,8 +47,8 @@
   }
 
   /** An engine of which something is believed in every respect. */
-  private Engine experienced() {
-    directory.put(entry(BORN, 4, 3_000), NOW);
+  private Engine engineWithObservations() {
+    directory.put(entry(START_MILLIS, 4, 3_000), NOW);
     Engine engine = directory.find(ID);
     engine.cachedPrefixes().add(PROMPT);
     engine.load().reported(new EngineLoad(7, 4, 900, 1_000), NOW);
@@ -60,7 +60,7 @@
     return engine;
   }
 
-  private void assertNothingIsBelieved(Engine engine) {
+  private void assertNoObservations(Engine engine) {
     assertFalse(engine.cachedPrefixes().contains("a1"));
     assertFalse(engine.load().known(NOW));
     assertEquals(EngineHealth.HEALTHY, engine.health(NOW));
@@ -70,56 +70,56 @@
   }
 
   @Test
-  void theWarmthOfALaterLifeIsWhatItsEntrySays() {
-    experienced();
-    Engine present = put(BORN_AGAIN);
+  void theColdTimeOfALaterIncarnationIsThatOfItsEntry() {
+    engineWithObservations();
+    Engine present = put(RESTART_MILLIS);
     assertFalse(present.cold(NOW));
-    assertEquals(Long.MAX_VALUE, present.warmNanos(NOW));
+    assertEquals(Long.MAX_VALUE, present.warmForNanos(NOW));
   }
 
   @ParameterizedTest(name = "its entry says that it is cold: {0}")
   @ValueSource(booleans = {true, false})
-  void aLifeThatOnlyAReportToldOfCountsAsColdUntilItsEntryComes(boolean cold) {
-    put(BORN);
-    directory.adoptStartTime(ID, BORN_AGAIN, NOW);
+  void anIncarnationFoundByAReportIsColdUntilItsEntryArrives(boolean cold) {
+    put(START_MILLIS);
+    directory.adoptStartTime(ID, RESTART_MILLIS, NOW);
     Engine present = directory.find(ID);
     assertTrue(present.cold(NOW));
-    directory.put(entry(BORN, 4, 0), NOW);
+    directory.put(entry(START_MILLIS, 4, 0), NOW);
     assertTrue(present.cold(NOW));
-    directory.put(entry(BORN_AGAIN, 4, cold ? 9_000 : 0), NOW);
+    directory.put(entry(RESTART_MILLIS, 4, cold ? 9_000 : 0), NOW);
     assertEquals(cold, present.cold(NOW));
   }
 
   @Test
-  void anEntryThatDoesNotComeLeavesNoEngineColdForGood() {
-    put(BORN);
-    directory.adoptStartTime(ID, BORN_AGAIN, NOW);
+  void anEngineWithoutAnEntryDoesNotStayColdForever() {
+    put(START_MILLIS);
+    directory.adoptStartTime(ID, RESTART_MILLIS, NOW);
     assertTrue(directory.find(ID).cold(NOW + 2_999_000_000L));
     assertFalse(directory.find(ID).cold(NOW + 3_000_000_000L));
   }
 
   @ParameterizedTest
   @EnumSource(EngineRestartListener.Source.class)
-  void ofALaterLifeNothingIsBelieved(EngineRestartListener.Source source) {
-    Engine former = experienced();
+  void aLaterIncarnationStartsWithoutObservations(EngineRestartListener.Source source) {
+    Engine former = engineWithObservations();
     if (source == EngineRestartListener.Source.ENTRY) {
-      put(BORN_AGAIN);
+      put(RESTART_MILLIS);
     } else {
-      assertTrue(directory.adoptStartTime(ID, BORN_AGAIN, NOW));
+      assertTrue(directory.adoptStartTime(ID, RESTART_MILLIS, NOW));
     }
     Engine present = directory.find(ID);
     assertNotSame(former, present);
     assertTrue(former.removed());
     assertFalse(present.removed());
-    assertNothingIsBelieved(present);
+    assertNoObservations(present);
     assertEquals(List.of(present), directory.ofService("s"));
-    assertEquals(List.of("e " + BORN + " " + BORN_AGAIN + " " + source), restarts);
+    assertEquals(List.of("e " + START_MILLIS + " " + RESTART_MILLIS + " " + source), restarts);
   }
 
   @Test
-  void theSameLifeKeepsWhatIsBelieved() {
-    Engine known = experienced();
-    directory.put(entry(BORN, 9, 0), NOW);
+  void theSameIncarnationKeepsItsObservations() {
+    Engine known = engineWithObservations();
+    directory.put(entry(START_MILLIS, 9, 0), NOW);
     assertSame(known, directory.find(ID));
     assertEquals(9, known.record().slots());
     assertTrue(known.cachedPrefixes().contains("a1"));
@@ -127,32 +127,32 @@
   }
 
   @Test
-  void anEntryOfAnEarlierLifeChangesNothing() {
-    Engine present = put(BORN_AGAIN);
-    directory.put(entry(BORN, 9, 700), NOW);
-    directory.replaceAll(List.of(entry(BORN, 9, 700)), NO_OUTAGE, NOW);
+  void anEntryOfAnEarlierIncarnationChangesNothing() {
+    Engine present = put(RESTART_MILLIS);
+    directory.put(entry(START_MILLIS, 9, 700), NOW);
+    directory.replaceAll(List.of(entry(START_MILLIS, 9, 700)), NO_OUTAGE, NOW);
     assertSame(present, directory.find(ID));
-    assertEquals(entry(BORN_AGAIN, 4, 0), present.record());
+    assertEquals(entry(RESTART_MILLIS, 4, 0), present.record());
     assertFalse(present.cold(NOW));
   }
 
   @Test
-  void anEntryOfAnEarlierLifeDoesNotEndALapse() {
-    put(BORN_AGAIN);
+  void anEntryOfAnEarlierIncarnationDoesNotEndALapse() {
+    put(RESTART_MILLIS);
     directory.remove(ID.value(), NOW + 1_000_000_000, NOW);
-    directory.put(entry(BORN, 4, 0), NOW);
+    directory.put(entry(START_MILLIS, 4, 0), NOW);
     directory.expireLapsed(NOW + 1_000_000_000);
     assertNull(directory.find(ID));
   }
 
   @Test
-  void theEntryOfALifeThatAReportToldFirstIsAdoptedWithoutANewStart() {
-    experienced();
-    directory.adoptStartTime(ID, BORN_AGAIN, NOW);
+  void theEntryOfAnIncarnationFoundByAReportIsAdoptedWithoutAnotherRestart() {
+    engineWithObservations();
+    directory.adoptStartTime(ID, RESTART_MILLIS, NOW);
     Engine present = directory.find(ID);
     present.cachedPrefixes().add(PROMPT);
-    directory.put(entry(BORN, 4, 0), NOW);
-    directory.put(entry(BORN_AGAIN, 9, 2_000), NOW);
+    directory.put(entry(START_MILLIS, 4, 0), NOW);
+    directory.put(entry(RESTART_MILLIS, 9, 2_000), NOW);
     assertSame(present, directory.find(ID));
     assertEquals(9, present.record().slots());
     assertTrue(present.cold(NOW));
@@ -161,31 +161,31 @@
   }
 
   @Test
-  void aReportOfAnEarlierLifeIsNotBelieved() {
-    Engine present = put(BORN_AGAIN);
-    assertFalse(directory.adoptStartTime(ID, BORN, NOW));
-    assertTrue(directory.adoptStartTime(ID, BORN_AGAIN, NOW));
+  void aReportOfAnEarlierIncarnationIsRejected() {
+    Engine present = put(RESTART_MILLIS);
+    assertFalse(directory.adoptStartTime(ID, START_MILLIS, NOW));
+    assertTrue(directory.adoptStartTime(ID, RESTART_MILLIS, NOW));
     assertTrue(directory.adoptStartTime(ID, 0, NOW));
-    assertFalse(directory.adoptStartTime(new EngineId("other"), BORN, NOW));
+    assertFalse(directory.adoptStartTime(new EngineId("other"), START_MILLIS, NOW));
     assertSame(present, directory.find(ID));
   }
 
   @Test
-  void aStartThatIsToldLateIsThatOfTheKnownLife() {
+  void aStartTimeThatArrivesLateBelongsToTheKnownIncarnation() {
     Engine known = put(0);
-    assertTrue(directory.adoptStartTime(ID, BORN, NOW));
+    assertTrue(directory.adoptStartTime(ID, START_MILLIS, NOW));
     directory.put(entry(0, 9, 0), NOW);
     assertSame(known, directory.find(ID));
-    assertEquals(BORN, known.record().startMillis());
-    assertTrue(directory.adoptStartTime(ID, BORN_AGAIN, NOW));
+    assertEquals(START_MILLIS, known.record().startMillis());
+    assertTrue(directory.adoptStartTime(ID, RESTART_MILLIS, NOW));
     assertNotSame(known, directory.find(ID));
   }
 
   @Test
-  void failuresOfRequestsToAFormerLifeSpeakAgainstNobodyElse() {
-    Engine former = put(BORN);
+  void failuresOfAFormerIncarnationMakeNoEngineSuspect() {
+    Engine former = put(START_MILLIS);
     former.failed(NOW);
-    Engine present = put(BORN_AGAIN);
+    Engine present = put(RESTART_MILLIS);
     former.failed(NOW);
     former.failed(NOW);
     assertEquals(List.of(), suspected);
@@ -193,20 +193,21 @@
   }
 
   @Test
-  void whatOthersSuspectOfAFormerLifeFadesWithTime() {
-    Engine present = put(BORN_AGAIN);
+  void aSuspicionOfPeersExpires() {
+    Engine present = put(RESTART_MILLIS);
     present.suspectedByPeer(NOW);
     assertEquals(EngineHealth.SUSPECT, present.health(NOW));
     assertEquals(EngineHealth.HEALTHY, present.health(NOW + 1_500_000_000));
   }
 
   @Test
-  void anEngineOfAnotherServiceIsAnotherEngine() {
-    Engine former = experienced();
-    directory.put(new EngineRecord(ID.value(), "t", "10.0.0.1", 80, "z", 4, false, 0, BORN), NOW);
+  void anEngineOfAnotherServiceIsADifferentEngine() {
+    Engine former = engineWithObservations();
+    directory.put(
+        new EngineRecord(ID.value(), "t", "10.0.0.1", 80, "z", 4, false, 0, START_MILLIS), NOW);
     assertTrue(former.removed());
     assertEquals(List.of(), directory.ofService("s"));
     assertEquals(List.of(directory.find(ID)), directory.ofService("t"));
-    assertNothingIsBelieved(directory.find(ID));
+    assertNoObservations(directory.find(ID));
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/directory/TestLoadEstimate.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/directory/TestLoadEstimate.java
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void requestsSentBetweenTheReportsMomentAndItsArrivalCountOnTop() {
+  void requestsSentAfterTheMomentOfTheReportAreAdded() {
     load.sent(millis(90));
     load.sent(millis(110));
     load.reported(THREE, millis(100));
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void requestsThatAreOverDoNotCount() {
+  void endedRequestsDoNotCount() {
     load.reported(THREE, millis(100));
     for (int i = 0; i < 20; i++) {
       load.sent(millis(110 + i));
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void aReportSaysNothingOnceItIsStale() {
+  void aStaleReportIsIgnored() {
     load.reported(new EngineLoad(2, 4, 75, 100), 0);
     load.sent(millis(10));
     long last = LoadEstimate.STALE_NANOS - 1;
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void aReportThatIsForgottenSaysNothing() {
+  void aDroppedReportIsIgnored() {
     load.reported(THREE, millis(100));
     load.forget();
     assertFalse(load.known(millis(100)));
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/load/SimulatedRegion.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/load/SimulatedRegion.java
@@ -27,7 +27,7 @@
 /** Nodes and engines of one region, and of another if a test adds some, in virtual time. */
 final class SimulatedRegion {
   static final int SLOTS = 16;
-  static final EngineLoad CALM = new EngineLoad(0, 2, 10, 100);
+  static final EngineLoad UNLOADED = new EngineLoad(0, 2, 10, 100);
   static final EngineLoad LOADED = new EngineLoad(3, 16, 90, 100);
 
   static final String ZONE = "z";
@@ -53,7 +53,7 @@
     final GatewayMetrics metrics = new GatewayMetrics();
     final LoadSharing sharedLoad;
     final List<GatewayEvent> events = new ArrayList<>();
-    private boolean gone;
+    private boolean stopped;
 
     Node(int number, String zone) {
       name = "n" + number;
@@ -62,7 +62,7 @@
       PeerTransport way = network.transportOf(address);
       PeerTransport transport =
           (receiver, datagram) -> {
-            if (!gone) {
+            if (!stopped) {
               way.send(receiver, datagram);
             }
           };
@@ -79,7 +79,7 @@
               codec,
               topology,
               (engine, answer) -> {
-                if (!gone) {
+                if (!stopped) {
                   reports.of(name).query(engine, answer);
                 }
               },
@@ -95,7 +95,7 @@
 
     /** The process ends: it asks, tells and hears nothing more. */
     void kill() {
-      gone = true;
+      stopped = true;
       network.detach(address);
       nodes.remove(this);
     }
@@ -115,7 +115,7 @@
     }
 
     /** A figure as it is shown to an operator. */
-    long figure(String name) {
+    long metric(String name) {
       String full = "baykeel_gateway_load_" + name + ' ';
       return new String(metrics.render(), java.nio.charset.StandardCharsets.UTF_8)
           .lines()
@@ -167,7 +167,7 @@
   }
 
   /** The nodes that ask an engine from now on for a while, one entry a question. */
-  List<String> askers(String engine, long millis) {
+  List<String> queryingNodes(String engine, long millis) {
     int before = reports.queries().size();
     eventLoop.advance(millis);
     return reports.queries().stream()
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/load/TestHerding.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/load/TestHerdingPrevention.java
@@ -12,7 +12,7 @@
  * Load: 31 engines half full, one of which looks empty to all of 77 nodes and goes on to look so,
  * since its reports lag.
  */
-class TestHerding {
+class TestHerdingPrevention {
   private static final int NODES = 77;
   private static final int ENGINES = 31;
   private static final int HALF = SimulatedRegion.SLOTS / 2;
@@ -55,7 +55,7 @@
 
   /** A node that is asked for much at once fills the engine up to the others, and no further. */
   @Test
-  void oneNodesBurstDoesNotAllGoToTheEngineThatLooksEmpty() {
+  void aBurstAtOneNodeIsNotSentOnlyToTheEngineThatLooksEmpty() {
     SimulatedRegion.Node node = region.nodes.get(5);
     int requests = 60;
     int level = (int) Math.ceil((double) (HALF * (ENGINES - 1) + requests) / ENGINES);
@@ -69,7 +69,7 @@
 
   /** Beyond twice its slots, a request would wait for longer than one is worked on. */
   @Test
-  void allNodesTogetherDoNotOverfillTheEngineThatLooksEmptyBeforeItsReportsTell() {
+  void allNodesTogetherDoNotOverfillAnEngineThatLooksEmptyUntilItsReportsArrive() {
     int sent = 0;
     for (int millis = 0; millis < 300; millis += 5) {
       region.eventLoop.advance(5);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/load/TestSharedLoad.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/load/TestLoadSharing.java
@@ -19,11 +19,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class TestSharedLoad {
+class TestLoadSharing {
   private static final EngineLoad CHANGED = new EngineLoad(0, 5, 10, 100);
-  private static final PeerAddress STRANGER = new PeerAddress("10.0.9.9", 1);
+  private static final PeerAddress UNKNOWN_PEER = new PeerAddress("10.0.9.9", 1);
 
-  private static PeerMessage told(long ageMillis, long bornMillis, int running) {
+  private static PeerMessage notice(long ageMillis, long bornMillis, int running) {
     return new PeerMessage.EngineLoadNotice(
         List.of(
             new PeerMessage.ReportedLoad(
@@ -32,25 +32,25 @@
 
   @ParameterizedTest(name = "{0} running of 16")
   @CsvSource({"2, 800", "12, 300"})
-  void allNodesKnowAllEnginesAndOneNodeAsksEach(int running, long oldestMillis) {
+  void allNodesKnowAllEnginesAndOneNodeQueriesEach(int running, long oldestMillis) {
     SimulatedRegion region = new SimulatedRegion(9, 12, new EngineLoad(0, running, 10, 100));
     for (int i = 0; i < 12; i++) {
       String engine = "e" + i;
-      assertEquals(1, new HashSet<>(region.askers(engine, 1_000)).size(), engine);
+      assertEquals(1, new HashSet<>(region.queryingNodes(engine, 1_000)).size(), engine);
       for (SimulatedRegion.Node node : region.nodes) {
         assertEquals(running, node.seen(engine));
         assertTrue(node.ageMillis(engine) <= oldestMillis, engine + " " + node.ageMillis(engine));
       }
     }
     assertEquals(
-        12, region.nodes.stream().mapToLong(node -> node.figure("engines_reported_here")).sum());
-    assertEquals(12, region.nodes.get(0).figure("engines_known"));
+        12, region.nodes.stream().mapToLong(node -> node.metric("engines_reported_here")).sum());
+    assertEquals(12, region.nodes.get(0).metric("engines_known"));
   }
 
   @ParameterizedTest(name = "after {0} ms")
   @ValueSource(longs = {0, 90, 210, 340, 470, 600, 690, 740})
-  void aReporterThatDiesIsReplacedWithinASecond(long millis) {
-    for (EngineLoad load : List.of(SimulatedRegion.CALM, SimulatedRegion.LOADED)) {
+  void aFailedReporterIsReplacedWithinASecond(long millis) {
+    for (EngineLoad load : List.of(SimulatedRegion.UNLOADED, SimulatedRegion.LOADED)) {
       SimulatedRegion region = new SimulatedRegion(9, 3, load);
       region.eventLoop.advance(millis);
       region.reporterOf("e1").kill();
@@ -61,25 +61,25 @@
   }
 
   @Test
-  void aSubstituteGoesOnAtTheUsualPaceAndStopsWhenTheFirstIsBack() {
+  void aSubstituteQueriesAtTheUsualIntervalUntilTheFirstNodeIsBack() {
     SimulatedRegion region = new SimulatedRegion(9, 3, SimulatedRegion.LOADED);
     SimulatedRegion.Node first = region.reporterOf("e1");
     first.kill();
     region.eventLoop.advance(1_000);
     SimulatedRegion.Node substitute = region.reporterOf("e1");
-    List<String> meanwhile = region.askers("e1", 2_000);
+    List<String> meanwhile = region.queryingNodes("e1", 2_000);
     assertEquals(Set.of(substitute.name), Set.copyOf(meanwhile));
     assertTrue(meanwhile.size() >= 8, "asked " + meanwhile.size());
     assertEquals(List.of(GatewayEvent.LOAD_REPORTER_CHANGED), substitute.events);
     SimulatedRegion.Node back = region.start(Integer.parseInt(first.name.substring(1)));
     region.eventLoop.advance(1_500);
-    assertEquals(Set.of(back.name), Set.copyOf(region.askers("e1", 2_000)));
+    assertEquals(Set.of(back.name), Set.copyOf(region.queryingNodes("e1", 2_000)));
     assertEquals(2, substitute.events.size());
   }
 
   @Test
-  void theThirdNodeStepsInWhenTwoAreGone() {
-    SimulatedRegion region = new SimulatedRegion(9, 3, SimulatedRegion.CALM);
+  void theThirdNodeTakesOverWhenTwoHaveFailed() {
+    SimulatedRegion region = new SimulatedRegion(9, 3, SimulatedRegion.UNLOADED);
     region.reporterOf("e1").kill();
     region.eventLoop.advance(1_500);
     region.reporterOf("e1").kill();
@@ -89,8 +89,8 @@
   }
 
   @Test
-  void theSecondNodeTakesOverFromTheThirdWhenItIsBack() {
-    SimulatedRegion region = new SimulatedRegion(9, 3, SimulatedRegion.CALM);
+  void theSecondNodeTakesOverFromTheThirdWhenItReturns() {
+    SimulatedRegion region = new SimulatedRegion(9, 3, SimulatedRegion.UNLOADED);
     region.reporterOf("e1").kill();
     region.eventLoop.advance(1_500);
     SimulatedRegion.Node second = region.reporterOf("e1");
@@ -99,13 +99,13 @@
     SimulatedRegion.Node third = region.reporterOf("e1");
     region.start(Integer.parseInt(second.name.substring(1)));
     region.eventLoop.advance(4_000);
-    assertEquals(Set.of(second.name), Set.copyOf(region.askers("e1", 1_500)));
+    assertEquals(Set.of(second.name), Set.copyOf(region.queryingNodes("e1", 1_500)));
     assertEquals(2, third.events.size(), "it began and ended");
   }
 
   @Test
-  void aReporterThatCanNotReachTheOthersIsReplacedThere() {
-    SimulatedRegion region = new SimulatedRegion(9, 3, SimulatedRegion.CALM);
+  void aReporterThatCannotReachItsPeersIsReplaced() {
+    SimulatedRegion region = new SimulatedRegion(9, 3, SimulatedRegion.UNLOADED);
     SimulatedRegion.Node reporter = region.reporterOf("e1");
     List<SimulatedRegion.Node> others = new ArrayList<>(region.nodes);
     others.remove(reporter);
@@ -116,8 +116,8 @@
   }
 
   @Test
-  void bothSidesOfACutKnowTheEnginesAndOneNodeAsksWhenItIsHealed() {
-    SimulatedRegion region = new SimulatedRegion(20, 10, SimulatedRegion.CALM);
+  void bothSidesOfAPartitionKnowTheEnginesAndOneNodeQueriesAfterwards() {
+    SimulatedRegion region = new SimulatedRegion(20, 10, SimulatedRegion.UNLOADED);
     List<SimulatedRegion.Node> left = region.nodes.subList(0, 10);
     List<SimulatedRegion.Node> right = region.nodes.subList(10, 20);
     region.cut(left, right, true);
@@ -134,13 +134,13 @@
     region.cut(left, right, false);
     region.eventLoop.advance(1_500);
     for (int i = 0; i < 10; i++) {
-      assertEquals(1, Set.copyOf(region.askers("e" + i, 1_500)).size(), "e" + i);
+      assertEquals(1, Set.copyOf(region.queryingNodes("e" + i, 1_500)).size(), "e" + i);
     }
   }
 
   @Test
-  void eachRegionHasAReporterAndAnEngineElsewhereIsAskedSlowly() {
-    SimulatedRegion region = new SimulatedRegion(6, 0, SimulatedRegion.CALM);
+  void eachRegionHasAReporterAndEnginesOfOtherRegionsAreQueriedAtTheLongInterval() {
+    SimulatedRegion region = new SimulatedRegion(6, 0, SimulatedRegion.UNLOADED);
     for (int i = 0; i < 3; i++) {
       region.start(50 + i, SimulatedRegion.ZONE_OF_OTHER_REGION);
     }
@@ -149,7 +149,7 @@
         node ->
             node.engines.put(SimulatedRegion.record("far", SimulatedRegion.ZONE_OF_OTHER_REGION)));
     region.eventLoop.advance(4_000);
-    List<String> askers = region.askers("far", 7_000);
+    List<String> askers = region.queryingNodes("far", 7_000);
     region.nodes.forEach(node -> assertEquals(19, node.seen("far"), node.name));
     assertEquals(2, Set.copyOf(askers).size(), "one in each region: " + askers);
     List<String> west = List.of("n50", "n51", "n52");
@@ -158,7 +158,7 @@
   }
 
   @Test
-  void lossOfDatagramsLeavesTheViewInPlace() {
+  void lostDatagramsDoNotExpireTheView() {
     SimulatedRegion region = new SimulatedRegion(20, 10, SimulatedRegion.LOADED);
     region.network.lose(0.2, new java.util.Random(7));
     for (int second = 0; second < 10; second++) {
@@ -172,7 +172,7 @@
   }
 
   @Test
-  void aViewThatIsNotRenewedFadesToNothingKnown() {
+  void aViewThatIsNotRenewedExpires() {
     SimulatedRegion region = new SimulatedRegion(3, 1, SimulatedRegion.LOADED);
     region.reports.silence("e0");
     region.eventLoop.advance(2_000);
@@ -181,69 +181,69 @@
     region.eventLoop.advance(1_000);
     assertEquals(-1, node.seen("e0"));
     assertEquals(0, node.engine("e0").load().requests(region.eventLoop.nanoTime()));
-    assertEquals(0, node.figure("engines_known"));
-    assertEquals(-1, node.figure("oldest_age_milliseconds"));
+    assertEquals(0, node.metric("engines_known"));
+    assertEquals(-1, node.metric("oldest_age_milliseconds"));
   }
 
   @ParameterizedTest(name = "told {0} ms late after one of {1} ms: {2}")
   @CsvSource({"100, 400, 7", "400, 100, 9", "2600, 100, 9", "100, 100, 9"})
-  void theNewestReportWinsWhoeverToldIt(long age, long ageBefore, int expected) {
-    SimulatedRegion region = new SimulatedRegion(0, 1, SimulatedRegion.CALM);
+  void theNewestReportWinsWhicheverNodePublishedIt(long age, long ageBefore, int expected) {
+    SimulatedRegion region = new SimulatedRegion(0, 1, SimulatedRegion.UNLOADED);
     SimulatedRegion.Node node = region.start(1);
     region.eventLoop.advance(10);
-    node.sharedLoad.onMessage(STRANGER, told(ageBefore, 0, 9));
-    node.sharedLoad.onMessage(STRANGER, told(age, 0, 7));
+    node.sharedLoad.onMessage(UNKNOWN_PEER, notice(ageBefore, 0, 9));
+    node.sharedLoad.onMessage(UNKNOWN_PEER, notice(age, 0, 7));
     assertEquals(expected, node.seen("e0"));
   }
 
   @Test
-  void aNoticeThatIsTooOldIsNoNews() {
-    SimulatedRegion region = new SimulatedRegion(0, 1, SimulatedRegion.CALM);
+  void aNoticeThatIsTooOldIsIgnored() {
+    SimulatedRegion region = new SimulatedRegion(0, 1, SimulatedRegion.UNLOADED);
     SimulatedRegion.Node node = region.start(1);
-    node.sharedLoad.onMessage(STRANGER, told(2_500, 0, 9));
+    node.sharedLoad.onMessage(UNKNOWN_PEER, notice(2_500, 0, 9));
     assertEquals(-1, node.seen("e0"));
-    node.sharedLoad.onMessage(STRANGER, told(2_400, 0, 9));
+    node.sharedLoad.onMessage(UNKNOWN_PEER, notice(2_400, 0, 9));
     assertEquals(9, node.seen("e0"));
     region.eventLoop.advance(100);
     assertEquals(-1, node.seen("e0"));
   }
 
   @Test
-  void aNoticeOfAnEarlierLifeOfTheEngineIsNoNews() {
-    SimulatedRegion region = new SimulatedRegion(0, 1, SimulatedRegion.CALM);
+  void aNoticeOfAnEarlierIncarnationIsIgnored() {
+    SimulatedRegion region = new SimulatedRegion(0, 1, SimulatedRegion.UNLOADED);
     SimulatedRegion.Node node = region.start(1);
-    node.sharedLoad.onMessage(STRANGER, told(50, 1_000, 9));
-    node.sharedLoad.onMessage(STRANGER, told(60, 2_000, 1));
+    node.sharedLoad.onMessage(UNKNOWN_PEER, notice(50, 1_000, 9));
+    node.sharedLoad.onMessage(UNKNOWN_PEER, notice(60, 2_000, 1));
     assertEquals(1, node.seen("e0"), "a later life counts, also when it was told later");
-    node.sharedLoad.onMessage(STRANGER, told(10, 1_000, 9));
+    node.sharedLoad.onMessage(UNKNOWN_PEER, notice(10, 1_000, 9));
     assertEquals(1, node.seen("e0"));
   }
 
   @Test
-  void anEngineWithoutReportsIsAskedByFewNodesAndRarely() {
-    SimulatedRegion region = new SimulatedRegion(40, 0, SimulatedRegion.CALM);
+  void anEngineWithoutReportsIsQueriedByFewNodesAndRarely() {
+    SimulatedRegion region = new SimulatedRegion(40, 0, SimulatedRegion.UNLOADED);
     region.nodes.forEach(node -> node.engines.put(SimulatedRegion.record("tool")));
-    List<String> askers = region.askers("tool", 29_000);
+    List<String> askers = region.queryingNodes("tool", 29_000);
     assertTrue(askers.size() <= 5, "asked " + askers);
     assertEquals(askers.size(), Set.copyOf(askers).size());
-    assertTrue(region.askers("tool", 30_000).size() <= 5);
+    assertTrue(region.queryingNodes("tool", 30_000).size() <= 5);
     SimulatedRegion.Node first =
         region.nodes.stream().filter(n -> n.name.equals(askers.get(0))).findFirst().orElseThrow();
     assertTrue(first.events.contains(GatewayEvent.LOAD_REPORT_UNAVAILABLE));
   }
 
   @Test
-  void anEngineThatAnswersNobodyIsAskedMoreAndMoreRarely() {
+  void anEngineThatDoesNotRespondIsQueriedWithBackoff() {
     SimulatedRegion region = new SimulatedRegion(40, 1, SimulatedRegion.LOADED);
     region.reports.silence("e0");
     region.eventLoop.advance(20_000);
-    List<String> askers = region.askers("e0", 10_000);
+    List<String> askers = region.queryingNodes("e0", 10_000);
     assertTrue(askers.size() <= 5 * 3, "asked " + askers.size());
     assertFalse(askers.isEmpty());
   }
 
   @Test
-  void aLostAnswerIsNotAskedForAgainBeforeTheNextRound() {
+  void aQueryWithoutResponseIsNotRepeatedBeforeTheNextRound() {
     SimulatedRegion region = new SimulatedRegion(1, 1, SimulatedRegion.LOADED);
     region.reports.silence("e0");
     region.eventLoop.advance(150);
@@ -253,9 +253,9 @@
   }
 
   @Test
-  void ownRequestsThatAreUnderWayMakeAnEngineAskedMoreOften() {
-    SimulatedRegion region = new SimulatedRegion(1, 1, SimulatedRegion.CALM);
-    int calm = region.askers("e0", 2_100).size();
+  void ownRequestsInFlightShortenTheQueryInterval() {
+    SimulatedRegion region = new SimulatedRegion(1, 1, SimulatedRegion.UNLOADED);
+    int calm = region.queryingNodes("e0", 2_100).size();
     Engine engine = region.nodes.get(0).engine("e0");
     for (int i = 0; i < 40; i++) {
       region.eventLoop.advance(50);
@@ -263,22 +263,22 @@
     }
     region.reports.set("e0", SimulatedRegion.LOADED);
     assertTrue(calm <= 3, "calm: " + calm);
-    assertTrue(region.askers("e0", 2_000).size() >= 8);
+    assertTrue(region.queryingNodes("e0", 2_000).size() >= 8);
   }
 
   @Test
-  void aNodeThatDoesNotKnowTheOthersAsksNobodyAndHearsThem() {
-    SimulatedRegion region = new SimulatedRegion(5, 3, SimulatedRegion.CALM);
+  void aNodeThatDoesNotKnowItsPeersQueriesNoEngine() {
+    SimulatedRegion region = new SimulatedRegion(5, 3, SimulatedRegion.UNLOADED);
     region.store.failReads(true);
     SimulatedRegion.Node late = region.start(77);
     region.eventLoop.advance(3_000);
     assertTrue(
         region.reports.queries().stream().noneMatch(asked -> asked.node().equals(late.name)));
-    assertEquals(0, late.figure("engines_reported_here"));
+    assertEquals(0, late.metric("engines_reported_here"));
   }
 
   @Test
-  void allNodesThatStartAtOnceKnowTheEnginesAgainWithinThreeSeconds() {
+  void nodesThatAllStartAtOnceKnowTheEnginesWithinThreeSeconds() {
     SimulatedRegion region = new SimulatedRegion(20, 10, SimulatedRegion.LOADED);
     List.copyOf(region.nodes).forEach(SimulatedRegion.Node::kill);
     for (int i = 0; i < 20; i++) {
@@ -293,21 +293,21 @@
   }
 
   @Test
-  void enginesOfOneNodeAreToldTogether() {
-    SimulatedRegion region = new SimulatedRegion(2, 0, SimulatedRegion.CALM);
+  void reportsOfOneNodeAreBatched() {
+    SimulatedRegion region = new SimulatedRegion(2, 0, SimulatedRegion.UNLOADED);
     for (int i = 0; i < 20; i++) {
       String engine = "e" + i;
-      region.reports.set(engine, SimulatedRegion.CALM);
+      region.reports.set(engine, SimulatedRegion.UNLOADED);
       region.nodes.forEach(node -> node.engines.put(SimulatedRegion.record(engine)));
       region.eventLoop.advance(130);
     }
     region.eventLoop.advance(2_000);
     SimulatedRegion.Node node = region.nodes.get(0);
-    long before = node.figure("datagrams_sent");
+    long before = node.metric("datagrams_sent");
     region.eventLoop.advance(7_000);
     long rounds = 7_000 / 700;
-    assertTrue(node.figure("engines_reported_here") > 5);
-    long sent = node.figure("datagrams_sent") - before;
+    assertTrue(node.metric("engines_reported_here") > 5);
+    long sent = node.metric("datagrams_sent") - before;
     assertTrue(sent <= 2 * rounds + 2, "sent " + sent);
   }
 
@@ -315,20 +315,20 @@
   void bytesOfEachNodeStayWithinTheirBudgetWhenAllEnginesAreLoaded() {
     SimulatedRegion region = new SimulatedRegion(77, 40, SimulatedRegion.LOADED);
     int seconds = 20;
-    List<Long> before = region.nodes.stream().map(node -> node.figure("sent_bytes")).toList();
+    List<Long> before = region.nodes.stream().map(node -> node.metric("sent_bytes")).toList();
     region.eventLoop.advance(seconds * 1_000);
     long most =
-        LoadNoticePublisher.MAX_SAVED_BYTES + seconds * LoadNoticePublisher.BYTES_PER_SECOND;
+        LoadNoticePublisher.MAX_BURST_BYTES + seconds * LoadNoticePublisher.BYTES_PER_SECOND;
     for (int i = 0; i < region.nodes.size(); i++) {
       SimulatedRegion.Node node = region.nodes.get(i);
-      long sent = node.figure("sent_bytes") - before.get(i);
+      long sent = node.metric("sent_bytes") - before.get(i);
       assertTrue(sent <= most, node.name + " sent " + sent);
       for (int e = 0; e < 40; e++) {
         assertEquals(19, node.seen("e" + e), "the view stays in place");
       }
     }
     for (int e = 0; e < 40; e += 8) {
-      List<String> askers = region.askers("e" + e, 2_000);
+      List<String> askers = region.queryingNodes("e" + e, 2_000);
       assertEquals(1, Set.copyOf(askers).size(), "a longer interval is no silence: " + askers);
     }
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/load/TestLoadBoard.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/load/TestLoadView.java
@@ -11,7 +11,7 @@
 import org.baykeel.gateway.testing.TestingEventLoop;
 import org.junit.jupiter.api.Test;
 
-class TestLoadBoard {
+class TestLoadView {
   private static final PeerAddress SELF = new PeerAddress("10.0.0.1", 1);
   private static final PeerAddress PEER = new PeerAddress("10.0.0.2", 1);
   private static final EngineId ENGINE = new EngineId("e0");
@@ -19,7 +19,7 @@
 
   private final TestingEventLoop eventLoop = new TestingEventLoop();
   private final EngineDirectory engines = new EngineDirectory(1);
-  private final EventLoopLag stall = new EventLoopLag(TICK_NANOS, eventLoop.nanoTime());
+  private final EventLoopLag lag = new EventLoopLag(TICK_NANOS, eventLoop.nanoTime());
 
   private long ageMillisOfNotice(long toldAgeMillis, long roundTripMillis) {
     engines.put(SimulatedRegion.record(ENGINE.value()));
@@ -29,29 +29,30 @@
             new RendezvousOrder(SELF, () -> List.of(PEER)),
             peer -> roundTripMillis,
             eventLoop,
-            stall);
+            lag);
     board.onMessage(
         PEER,
         new PeerMessage.EngineLoadNotice(
-            List.of(new PeerMessage.ReportedLoad(ENGINE, toldAgeMillis, 0, SimulatedRegion.CALM))));
+            List.of(
+                new PeerMessage.ReportedLoad(ENGINE, toldAgeMillis, 0, SimulatedRegion.UNLOADED))));
     return engines.find(ENGINE).load().ageNanos(eventLoop.nanoTime()) / 1_000_000;
   }
 
   @Test
-  void theWayCountsIntoTheAgeOfANotice() {
+  void theRoundTripAddsToTheAgeOfANotice() {
     assertEquals(140, ageMillisOfNotice(100, 40));
   }
 
   @Test
-  void whatWasReceivedWhileTheProcessStoodStillIsAsOldAsThat() {
+  void aNoticeReceivedDuringAStallIsAgedByTheLag() {
     eventLoop.advance(1_050);
     assertEquals(1_100, ageMillisOfNotice(100, 0));
   }
 
   @Test
-  void whatIsReadAfterTheFirstTickThatIsLateIsAsOldToo() {
+  void aNoticeReadAfterTheFirstLateTickIsAgedByTheLag() {
     eventLoop.advance(1_050);
-    stall.ticked(eventLoop.nanoTime());
+    lag.tick(eventLoop.nanoTime());
     eventLoop.advance(10);
     assertEquals(1_100, ageMillisOfNotice(100, 0));
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/placement/TestPlacement.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/placement/TestPlacement.java
@@ -149,7 +149,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"e1", "w2"})
-  void homesLieInTheNodesOwnRegionAndEachNodeOfItFindsThem(String zone) {
+  void homeEnginesAreInTheNodesRegionAndTheSameAtEachNode(String zone) {
     Node node = node(zone);
     Node other = node(zone.charAt(0) + "1");
     for (int i = 0; i < PROGRAMS; i++) {
@@ -174,15 +174,15 @@
   }
 
   @Test
-  void aLineLeavesItsRegionForALongWaitOnlyAndReturns() {
+  void aConversationLeavesItsRegionOnlyForALongWaitAndReturns() {
     Node node = node("e1");
     Criteria turn = turn("p");
     node.placement.roundTrips().observe("w1", 40, 0);
     node.placement.roundTrips().observe("w2", 40, 0);
-    enginesReadTokensIn(node, 0.0018);
-    waitInTheEast(node, 60);
+    observePrefillRate(node, 0.0018);
+    observeWaitInTheEast(node, 60);
     assertTrue(node.choose(turn).locality().inRegion(), "a short wait");
-    waitInTheEast(node, 2_000);
+    observeWaitInTheEast(node, 2_000);
     Choice spilled = node.choose(turn);
     assertEquals(Locality.OTHER_REGION, spilled.locality());
     assertTrue(spilled.inRegionMillis() > spilled.predictedMillis());
@@ -191,14 +191,14 @@
     assertTrue(node.choose(turn).locality().inRegion(), "after the wait");
   }
 
-  private static void enginesReadTokensIn(Node node, double millisPerToken) {
+  private static void observePrefillRate(Node node, double millisPerToken) {
     for (int i = 0; i < 100; i++) {
       int tokens = i % 2 * 10_000;
       node.engine("e1-0").performance().observeFirstEvent(tokens, 15 + tokens * millisPerToken);
     }
   }
 
-  private void waitInTheEast(Node node, double millis) {
+  private void observeWaitInTheEast(Node node, double millis) {
     for (String zone : List.of("e1", "e2")) {
       for (int i = 0; i < ENGINES_PER_ZONE; i++) {
         for (int times = 0; times < 20; times++) {
@@ -211,7 +211,7 @@
   // Zones out of service.
 
   @Test
-  void nothingNewGoesToAZoneOutOfService() {
+  void newWorkAvoidsACordonedZone() {
     Node node = node("e1");
     node.placement.cordons().cordon("e1", 5);
     for (int i = 0; i < PROGRAMS; i++) {
@@ -221,7 +221,7 @@
   }
 
   @Test
-  void linesLeaveTheZoneByTheirNextTurnSpreadOverHalfTheBound() {
+  void conversationsLeaveACordonedZoneSpreadOverHalfTheBound() {
     Node node = node("e1");
     Set<String> inZone = new HashSet<>();
     for (int i = 0; i < PROGRAMS; i++) {
@@ -232,27 +232,27 @@
       }
     }
     node.placement.cordons().cordon("e1", 5);
-    int atFirst = still(node, inZone);
+    int atFirst = stillInZone(node, inZone);
     eventLoop.advance(CORDON_MILLIS / 4);
-    int halfway = still(node, inZone);
+    int halfway = stillInZone(node, inZone);
     eventLoop.advance(CORDON_MILLIS / 4);
     assertTrue(atFirst > halfway && halfway > 0, atFirst + " then " + halfway);
-    assertEquals(0, still(node, inZone));
+    assertEquals(0, stillInZone(node, inZone));
   }
 
-  private static int still(Node node, Set<String> programs) {
+  private static int stillInZone(Node node, Set<String> programs) {
     return (int) programs.stream().filter(p -> "e1".equals(node.zoneFor(turn(p)))).count();
   }
 
   @Test
-  void withTwoZonesOutTheOtherRegionServes() {
+  void withAllZonesOfARegionCordonedTheOtherRegionServes() {
     Node node = node("e1");
     node.placement.cordons().replaceAll(Map.of("e1", 5L, "e2", 6L));
     assertEquals(Locality.OTHER_REGION, node.choose(turn("p")).locality());
   }
 
   @Test
-  void withAllZonesOutNothingIsSent() {
+  void withAllZonesCordonedNothingIsSent() {
     Node node = node("e1");
     Map<String, Long> all = new HashMap<>();
     ZONES.forEach(zone -> all.put(zone, 5L));
@@ -261,7 +261,7 @@
   }
 
   @Test
-  void homesReturnOneAfterTheOtherWhenAZoneIsGivenBack() {
+  void programsReturnHomeGraduallyWhenACordonEnds() {
     Node node = node("e1");
     Map<String, String> before = new HashMap<>();
     for (int i = 0; i < PROGRAMS; i++) {
@@ -289,7 +289,7 @@
 
   @ParameterizedTest(name = "{0} from {1}: {2}")
   @CsvSource({"west, e1, w", "east, w2, e", "west, w1, w"})
-  void aBoundRequestRunsWhereItMay(String region, String zone, String expected) {
+  void aBoundRequestRunsInItsRegion(String region, String zone, String expected) {
     Node node = node(zone);
     Residency bound = Residency.of(List.of(new RegionId(region)));
     for (int i = 0; i < PROGRAMS; i++) {
@@ -298,7 +298,7 @@
   }
 
   @Test
-  void aBoundRequestThatMayRunNowhereIsNotSent() {
+  void aBoundRequestWithoutAnAllowedEngineIsNotSent() {
     Node node = node("e1");
     Residency east = Residency.of(List.of(EAST));
     assertNull(node.choose(turnIn("p", east.and(Residency.of(List.of(WEST))))));
@@ -323,7 +323,7 @@
   // Cold engines.
 
   @Test
-  void aColdEngineGetsNothingWhileAWarmOneTakesWork() {
+  void aColdEngineGetsNoRequestsWhileAWarmOneAcceptsWork() {
     Node node = node("e1");
     for (int i = 0; i < ENGINES_PER_ZONE; i++) {
       node.engines.put(record("e1-" + i, "e1", COLD_START_MILLIS), eventLoop.nanoTime());
@@ -394,6 +394,6 @@
     EngineRecord warm = home.record();
     node.engines.put(record(warm.id(), warm.zone(), 1_000), eventLoop.nanoTime());
     assertNotEquals(warm.id(), node.choose(turn("p")).engine().record().id());
-    assertFalse(home.warmNanos(eventLoop.nanoTime()) > 0);
+    assertFalse(home.warmForNanos(eventLoop.nanoTime()) > 0);
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/residency/TestResidency.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/residency/TestResidency.java
@@ -26,7 +26,7 @@
     "east, west, false, false",
     "east west, west east, true, true",
   })
-  void bothBind(String route, String tenant, boolean east, boolean west) {
+  void bothBindingsApply(String route, String tenant, boolean east, boolean west) {
     Residency both = of(route).and(of(tenant));
     assertEquals(east, both.allows(new RegionId("east")));
     assertEquals(west, both.allows(new RegionId("west")));
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/EngineSimulation.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/EngineSimulation.java
@@ -28,8 +28,8 @@
 
   private final int slots;
   private final double workMillis;
-  private final boolean viewShared;
-  private final List<ModelEngine> engines = new ArrayList<>();
+  private final boolean loadReported;
+  private final List<SimulatedEngine> engines = new ArrayList<>();
   private final List<EngineDirectory> directories = new ArrayList<>();
   private final List<EngineSelector> selectors = new ArrayList<>();
   private final Deque<Report> reports = new ArrayDeque<>();
@@ -37,13 +37,13 @@
   private long nowMillis = 1_000;
 
   /** One engine: the requests that it runs and those that wait. */
-  static final class ModelEngine {
+  static final class SimulatedEngine {
     private final String id;
-    private final List<Work> running = new ArrayList<>();
-    private final Deque<Work> waiting = new ArrayDeque<>();
+    private final List<Request> running = new ArrayList<>();
+    private final Deque<Request> waiting = new ArrayDeque<>();
     private double slowness = 1;
 
-    private ModelEngine(String id) {
+    private SimulatedEngine(String id) {
       this.id = id;
     }
 
@@ -57,22 +57,22 @@
   }
 
   /** One request: where it came from and what is left of it. */
-  static final class Work {
-    private final Engine seen;
+  static final class Request {
+    private final Engine engine;
     private final long sentMillis;
-    private double leftMillis;
+    private double remainingMillis;
     private long lastEventMillis;
     private int events;
     private long endedMillis = -1;
 
-    private Work(Engine seen, long sentMillis, double leftMillis) {
-      this.seen = seen;
+    private Request(Engine seen, long sentMillis, double leftMillis) {
+      this.engine = seen;
       this.sentMillis = sentMillis;
-      this.leftMillis = leftMillis;
+      this.remainingMillis = leftMillis;
     }
 
     String engineId() {
-      return seen.record().id();
+      return engine.record().id();
     }
 
     long sentMillis() {
@@ -90,13 +90,13 @@
   EngineSimulation(int nodes, int count, int slots, double workMillis, boolean viewShared) {
     this.slots = slots;
     this.workMillis = workMillis;
-    this.viewShared = viewShared;
+    this.loadReported = viewShared;
     for (int i = 0; i < count; i++) {
-      engines.add(new ModelEngine("e" + i));
+      engines.add(new SimulatedEngine("e" + i));
     }
     for (int node = 0; node < nodes; node++) {
       EngineDirectory directory = new EngineDirectory(1);
-      for (ModelEngine engine : engines) {
+      for (SimulatedEngine engine : engines) {
         directory.put(new EngineRecord(engine.id, "s", "10.0.0.1", 80, "z", slots, false));
       }
       for (int i = 0; i < 200; i++) {
@@ -119,26 +119,26 @@
         new SplittableRandom(node));
   }
 
-  ModelEngine engine(int index) {
+  SimulatedEngine engine(int index) {
     return engines.get(index);
   }
 
   /** Gives an engine work that no node knows of. */
-  void load(int index, int requests) {
+  void addUnreportedLoad(int index, int requests) {
     Engine seen = directories.get(0).ofService("s").get(index);
     for (int i = 0; i < requests; i++) {
       double left = workMillis * random.nextDouble();
-      engines.get(index).waiting.add(new Work(seen, nowMillis, left));
+      engines.get(index).waiting.add(new Request(seen, nowMillis, left));
     }
   }
 
   /** A request that enters at a random node. */
-  Work send(Criteria criteria) {
+  Request send(Criteria criteria) {
     int node = random.nextInt(selectors.size());
     long now = nowMillis * 1_000_000;
     Engine chosen = selectors.get(node).choose(criteria, Set.of(), now).engine();
     chosen.requestStarted(now);
-    Work work = new Work(chosen, nowMillis, workMillis);
+    Request work = new Request(chosen, nowMillis, workMillis);
     engines.get(directories.get(node).ofService("s").indexOf(chosen)).waiting.add(work);
     return work;
   }
@@ -146,41 +146,41 @@
   /** Lets a step of time pass. */
   void step(boolean streams) {
     nowMillis += STEP_MILLIS;
-    for (ModelEngine engine : engines) {
-      work(engine, streams);
+    for (SimulatedEngine engine : engines) {
+      advance(engine, streams);
     }
-    if (viewShared) {
+    if (loadReported) {
       report();
     }
   }
 
-  private void work(ModelEngine engine, boolean streams) {
-    for (Iterator<Work> each = engine.running.iterator(); each.hasNext(); ) {
-      Work work = each.next();
-      work.leftMillis -= STEP_MILLIS / engine.slowness;
+  private void advance(SimulatedEngine engine, boolean streams) {
+    for (Iterator<Request> each = engine.running.iterator(); each.hasNext(); ) {
+      Request work = each.next();
+      work.remainingMillis -= STEP_MILLIS / engine.slowness;
       if (streams) {
         observeEvents(work);
       }
-      if (work.leftMillis <= 0) {
+      if (work.remainingMillis <= 0) {
         each.remove();
         work.endedMillis = nowMillis;
-        work.seen.requestEnded(work.sentMillis * 1_000_000);
+        work.engine.requestEnded(work.sentMillis * 1_000_000);
       }
     }
     while (engine.running.size() < slots && !engine.waiting.isEmpty()) {
-      Work work = engine.waiting.remove();
+      Request work = engine.waiting.remove();
       work.lastEventMillis = nowMillis;
       engine.running.add(work);
       if (streams) {
-        work.seen.observeWait(nowMillis - work.sentMillis, nowMillis * 1_000_000);
+        work.engine.observeWait(nowMillis - work.sentMillis, nowMillis * 1_000_000);
       }
     }
   }
 
-  private void observeEvents(Work work) {
-    int events = (int) ((workMillis - Math.max(0, work.leftMillis)) * EVENTS / workMillis);
+  private void observeEvents(Request work) {
+    int events = (int) ((workMillis - Math.max(0, work.remainingMillis)) * EVENTS / workMillis);
     if (events > work.events) {
-      work.seen.observeInterEventTime(
+      work.engine.observeInterEventTime(
           (nowMillis - work.lastEventMillis) / (double) (events - work.events));
       work.events = events;
       work.lastEventMillis = nowMillis;
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestBackendChooser.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestBackendSelector.java
@@ -11,8 +11,8 @@
 import org.baykeel.gateway.residency.Residency;
 import org.junit.jupiter.api.Test;
 
-class TestBackendChooser {
-  private final BackendSelector chooser = new BackendSelector();
+class TestBackendSelector {
+  private final BackendSelector selector = new BackendSelector();
 
   private static Route route(Backend... backends) {
     return new Route(
@@ -37,7 +37,7 @@
   private Map<String, Integer> shares(Route route, boolean keyed, int requests) {
     Map<String, Integer> shares = new HashMap<>();
     for (int i = 0; i < requests; i++) {
-      shares.merge(chooser.choose(route, keyed ? "key" + i : null), 1, Integer::sum);
+      shares.merge(selector.choose(route, keyed ? "key" + i : null), 1, Integer::sum);
     }
     return shares;
   }
@@ -51,23 +51,23 @@
   }
 
   @Test
-  void requestsWithKeysFollowTheWeightsNearly() {
+  void requestsWithKeysFollowTheWeightsApproximately() {
     Map<String, Integer> shares =
         shares(route(new Backend("a", 70), new Backend("b", 30)), true, 10_000);
     assertEquals(3_000, shares.get("b"), 200);
   }
 
   @Test
-  void aKeyAlwaysGoesToTheSamePart() {
+  void aKeyIsAlwaysSentToTheSameService() {
     Route route = route(new Backend("a", 50), new Backend("b", 50));
-    String part = chooser.choose(route, "k");
+    String part = selector.choose(route, "k");
     for (int i = 0; i < 10; i++) {
-      assertEquals(part, chooser.choose(route, "k"));
+      assertEquals(part, selector.choose(route, "k"));
     }
   }
 
   @Test
-  void aPartOfWeightZeroGetsNothing() {
+  void aServiceOfWeightZeroGetsNoRequests() {
     Route route = route(new Backend("a", 0), new Backend("b", 5));
     assertEquals(Map.of("b", 50), shares(route, false, 50));
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestEngineSelector.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestEngineSelector.java
@@ -45,14 +45,14 @@
   }
 
   @Test
-  void aLineOfTurnsStaysWhereItsPromptIsKept() {
+  void aConversationStaysWhereItsPromptIsCached() {
     engines(4);
     engine("e2").cachedPrefixes().add(LONG_PROMPT);
     assertEquals("e2", select(LONG_PROMPT, "any").record().id());
   }
 
   @Test
-  void anotherProcessFindsTheHomeOfAProgramItNeverSaw() {
+  void anotherNodeFindsTheHomeEngineOfAProgramItNeverSaw() {
     engines(6);
     EngineDirectory elsewhere = new EngineDirectory(1);
     for (Engine engine : directory.ofService("s")) {
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void aSlowEngineIsLeftEvenByWhatItKeeps() {
+  void aSlowEngineIsAvoidedDespiteItsCachedPrefix() {
     engines(2);
     engine("e0").cachedPrefixes().add(LONG_PROMPT);
     for (int i = 0; i < 100; i++) {
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void aPartThatHasGrownIsKeptOnlyAsFarAsItWasRead() {
+  void aGrownPartCountsAsCachedOnlyUpToItsCachedLength() {
     engines(1);
     CachedPrefixes kept = engine("e0").cachedPrefixes();
     kept.add(List.of(new PromptPart("shared", 12_000), new PromptPart("own", 1_000)));
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void drainingAndExcludedEnginesGetNothing() {
+  void drainingAndExcludedEnginesGetNoRequests() {
     engines(1);
     directory.put(new EngineRecord("d", "s", "10.0.0.9", 80, "z", 8, true));
     Criteria criteria = new Criteria("s", List.of(), null, true);
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void anEngineThatFailedIsUsedOnlyIfNoOtherIsLeft() {
+  void anEngineThatFailedIsUsedOnlyIfThereIsNoOther() {
     engines(2);
     engine("e0").failed(0);
     assertEquals("e1", select(LONG_PROMPT, null).record().id());
@@ -122,7 +122,7 @@
     "3, 2, 8100, false, e0",
     "9, 2, 8100, false, e0",
   })
-  void anEngineThatFailsByTurnsGetsNothingThatMayRunOnlyOnce(
+  void anEngineThatFailsRepeatedlyGetsNoRequestsThatMayRunOnlyOnce(
       int episodes, int inARow, long laterMillis, boolean repeatable, String expected) {
     engines(2);
     engine("e1").requestStarted(0);
@@ -140,7 +140,7 @@
   }
 
   @Test
-  void anEngineThatLosesAnAnswerNowAndThenIsPreferredToOneThatIsDown() {
+  void anEngineOnProbationIsPreferredToASuspectOne() {
     engines(2);
     engine("e0").failed(0);
     engine("e0").failed(0);
@@ -152,7 +152,7 @@
   }
 
   @Test
-  void anEngineOnProbationIsUsedIfNoOtherTakesWork() {
+  void anEngineOnProbationIsUsedIfNoOtherAcceptsWork() {
     engines(1);
     engine("e0").failed(0);
     Criteria criteria = new Criteria("s", List.of(), null, false);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestDecisionsScale.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSelectionAcrossEngineTypes.java
@@ -28,20 +28,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Decisions follow the engines that are observed; none rests on the engines of one deployment. */
-class TestDecisionsScale {
+class TestSelectionAcrossEngineTypes {
   private static final String SERVICE = "s";
   private static final int OBSERVATIONS = 400;
-  private static final int KEPT_TOKENS = 6_000;
+  private static final int CACHED_TOKENS = 6_000;
   private static final long TARGET_MILLIS = 200;
   private static final List<PromptPart> PROMPT =
-      List.of(new PromptPart("shared", KEPT_TOKENS), new PromptPart("own", 500));
+      List.of(new PromptPart("shared", CACHED_TOKENS), new PromptPart("own", 500));
 
   private final Random random = new Random(7);
   private final EngineDirectory directory = new EngineDirectory(1);
   private final EngineSelector selector = new EngineSelector(directory, "z", random);
 
   /** Tokens read in a millisecond, places, milliseconds to the first event, between two events. */
-  static Stream<Arguments> modelEngines() {
+  static Stream<Arguments> engineTypes() {
     return Stream.of(10.0, 40.0, 270.0)
         .flatMap(
             speed ->
@@ -68,8 +68,8 @@
   }
 
   @ParameterizedTest
-  @MethodSource("modelEngines")
-  void speedAndFirstEventAreLearnt(double speed, int slots, double first, double gap) {
+  @MethodSource("engineTypes")
+  void prefillRateAndFirstEventTimeAreLearnt(double speed, int slots, double first, double gap) {
     Engine engine = engine("e0", slots, "z");
     observe(engine, speed, first, gap);
     ServicePerformance performance = engine.performance();
@@ -79,8 +79,8 @@
   }
 
   @ParameterizedTest
-  @MethodSource("modelEngines")
-  void readingAPromptIsNoWait(double speed, int slots, double first, double gap) {
+  @MethodSource("engineTypes")
+  void prefillTimeDoesNotCountAsWait(double speed, int slots, double first, double gap) {
     Engine engine = engine("e0", slots, "z");
     observe(engine, speed, first, gap);
     ProgramAdmission admission = admission();
@@ -103,8 +103,8 @@
   }
 
   @ParameterizedTest
-  @MethodSource("modelEngines")
-  void aLineLeavesWhatIsKeptOnlyForAWaitThatOutweighsReading(
+  @MethodSource("engineTypes")
+  void aConversationLeavesItsCachedPrefixOnlyForAWaitThatExceedsThePrefill(
       double speed, int slots, double first, double gap) {
     Engine keeping = engine("e0", slots, "z");
     Engine other = engine("e1", slots, "z");
@@ -112,7 +112,7 @@
     observe(other, speed, first, gap);
     keeping.cachedPrefixes().add(PROMPT);
     Criteria criteria = new Criteria(SERVICE, PROMPT, null, true);
-    double readingMillis = KEPT_TOKENS / speed;
+    double readingMillis = CACHED_TOKENS / speed;
     keeping.observeWait(readingMillis, 0);
     assertEquals("e0", selector.select(criteria, Set.of(), 0).record().id());
     for (int i = 0; i < 50; i++) {
@@ -123,7 +123,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {10, 60, 300, 900})
-  void aToolCallLeavesItsZoneOnlyForAWaitThatOutweighsTheWay(int workMillis) {
+  void aToolCallLeavesItsZoneOnlyForAWaitThatExceedsTheRoundTrip(int workMillis) {
     Engine near = engine("near", 6, "z");
     engine("far", 6, "elsewhere");
     for (int i = 0; i < OBSERVATIONS; i++) {
@@ -142,7 +142,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {10, 60, 300, 900})
-  void nodesThatKnowTheSameDoNotAllPickTheSameEngine(int workMillis) {
+  void nodesWithTheSameViewDoNotAllSelectTheSameEngine(int workMillis) {
     for (int i = 0; i < 6; i++) {
       Engine engine = engine("e" + i, 6, "z");
       engine.performance().observeNonStream(workMillis);
@@ -159,7 +159,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {50, 200, 2_000})
-  void refusalsBeginAtAMultipleOfWhatTheRouteWants(long targetMillis) {
+  void refusalsStartAtAMultipleOfTheRoutesTarget(long targetMillis) {
     ProgramAdmission admission = admission();
     for (int i = 0; i < 100; i++) {
       admission.observeWait(SERVICE, targetMillis * 0.2, 0);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSelectionSpeed.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSelectionAllocation.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A choice among six hundred engines allocates nothing for each of them. */
-class TestSelectionSpeed {
+class TestSelectionAllocation {
   private static final int ENGINES = 600;
-  private static final int CHOICES = 2_000;
-  private static final long BYTES_PER_CHOICE = ENGINES;
+  private static final int SELECTIONS = 2_000;
+  private static final long BYTES_PER_SELECTION = ENGINES;
 
   private final EngineDirectory directory = new EngineDirectory(1);
   private final Topology topology = Topology.ofOneRegion("z0");
@@ -35,14 +35,14 @@
           new SplittableRandom(1));
 
   private void choose(Criteria criteria) {
-    for (int i = 0; i < CHOICES; i++) {
+    for (int i = 0; i < SELECTIONS; i++) {
       selector.choose(criteria, Set.of(), 200_000_000L);
     }
   }
 
   @ParameterizedTest(name = "load known: {0}")
   @ValueSource(booleans = {false, true})
-  void aChoiceAmongSixHundredEnginesAllocatesNothingForEachOfThem(boolean known) {
+  void aSelectionAmongSixHundredEnginesAllocatesNothingPerEngine(boolean known) {
     for (int i = 0; i < ENGINES; i++) {
       directory.put(new EngineRecord("e" + i, "s", "10.0.0.1", 80, "z" + i % 4, 8, false));
     }
@@ -59,8 +59,8 @@
     long bytesBefore = thread.getCurrentThreadAllocatedBytes();
     long nanosBefore = System.nanoTime();
     choose(criteria);
-    long nanos = (System.nanoTime() - nanosBefore) / CHOICES;
-    long bytes = (thread.getCurrentThreadAllocatedBytes() - bytesBefore) / CHOICES;
-    assertTrue(bytes <= BYTES_PER_CHOICE, bytes + " bytes, " + nanos + " ns a choice");
+    long nanos = (System.nanoTime() - nanosBefore) / SELECTIONS;
+    long bytes = (thread.getCurrentThreadAllocatedBytes() - bytesBefore) / SELECTIONS;
+    assertTrue(bytes <= BYTES_PER_SELECTION, bytes + " bytes, " + nanos + " ns a choice");
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSharedLoad.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSelectionByLoadView.java
@@ -16,7 +16,7 @@
 import org.baykeel.gateway.directory.PromptPart;
 import org.baykeel.gateway.residency.Residency;
 import org.baykeel.gateway.scheduling.EngineSelector.Criteria;
-import org.baykeel.gateway.scheduling.EngineSimulation.Work;
+import org.baykeel.gateway.scheduling.EngineSimulation.Request;
 import org.baykeel.gateway.topology.RoundTrips;
 import org.baykeel.gateway.topology.Topology;
 import org.junit.jupiter.api.Test;
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Choices by a view of load that all nodes share and that is late. */
-class TestSharedLoad {
+class TestSelectionByLoadView {
   private static final int NODES = 77;
   private static final List<PromptPart> PROMPT = List.of(new PromptPart("own", 500));
   private static final Criteria STREAM = new Criteria("s", PROMPT, null, true);
@@ -37,11 +37,11 @@
    */
   @ParameterizedTest(name = "{0} engines of {1} places, work of {2} ms, stream {3}")
   @CsvSource({"31, 32, 1000, true", "31, 16, 400, true", "13, 6, 300, false", "13, 9, 20, false"})
-  void nodesThatAllSeeOneEmptyEngineFillItWithoutCrowdingThere(
+  void nodesThatAllSeeOneEmptyEngineFillItWithoutOverloadingIt(
       int count, int slots, double workMillis, boolean stream) {
     EngineSimulation engines = new EngineSimulation(NODES, count, slots, workMillis, true);
     for (int i = 1; i < count; i++) {
-      engines.load(i, 2 * slots);
+      engines.addUnreportedLoad(i, 2 * slots);
     }
     double perStep = 0.9 * count * slots * EngineSimulation.STEP_MILLIS / workMillis;
     double due = 0;
@@ -61,9 +61,9 @@
 
   /** Demand at half of the room; lines of turns with homes; one engine slow from 2 to 8 s. */
   @Test
-  void anEngineFourTimesAsSlowForSixSecondsIsLeftAndUsedAgain() {
+  void programsLeaveAnEngineThatIsSlowForSixSecondsAndReturn() {
     EngineSimulation engines = new EngineSimulation(NODES, 9, 16, 400, true);
-    List<Work> sent = new ArrayList<>();
+    List<Request> sent = new ArrayList<>();
     double perStep = 0.5 * 9 * 16 * EngineSimulation.STEP_MILLIS / 400;
     double due = 0;
     int program = 0;
@@ -76,22 +76,22 @@
     }
     assertTrue(inTime(sent, 3_000, 9_000) >= 0.9);
     assertTrue(inTime(sent, 12_000, 16_000) >= 0.95);
-    assertTrue(atFirst(sent, 4_000, 9_000) <= FAIR_SHARE);
-    assertTrue(atFirst(sent, 12_000, 16_000) >= FAIR_SHARE / 2);
+    assertTrue(atFirstEngine(sent, 4_000, 9_000) <= FAIR_SHARE);
+    assertTrue(atFirstEngine(sent, 12_000, 16_000) >= FAIR_SHARE / 2);
   }
 
   /** The part of the streams sent within a time that end in twice their usual time. */
-  private static double inTime(List<Work> sent, long fromMillis, long toMillis) {
+  private static double inTime(List<Request> sent, long fromMillis, long toMillis) {
     return part(sent, fromMillis, toMillis, work -> work.tookMillis() <= 800);
   }
 
-  private static double atFirst(List<Work> sent, long fromMillis, long toMillis) {
+  private static double atFirstEngine(List<Request> sent, long fromMillis, long toMillis) {
     return part(sent, fromMillis, toMillis, work -> work.engineId().equals("e0"));
   }
 
   private static double part(
-      List<Work> sent, long fromMillis, long toMillis, Predicate<Work> counted) {
-    List<Work> within =
+      List<Request> sent, long fromMillis, long toMillis, Predicate<Request> counted) {
+    List<Request> within =
         sent.stream()
             .filter(work -> work.sentMillis() >= fromMillis && work.sentMillis() < toMillis)
             .toList();
@@ -103,7 +103,7 @@
    */
   @ParameterizedTest(name = "load known: {0}")
   @ValueSource(booleans = {false, true})
-  void aPaceBelowTheBoundOfSlowEnginesCountsWhereTheLoadIsKnown(boolean known) {
+  void anInterEventTimeBelowTheSlowThresholdCountsOnlyIfTheLoadIsKnown(boolean known) {
     EngineDirectory directory = new EngineDirectory(1);
     for (String id : List.of("slower", "faster")) {
       directory.put(new EngineRecord(id, "s", "10.0.0.1", 80, "z", 8, false));
@@ -130,7 +130,7 @@
     "30000, 500, large",
     "90000, 500, home"
   })
-  void theLargestPromptsGoWhereMemoryIsLeft(int promptTokens, int outputTokens, String expected) {
+  void theLargestPromptsGoWhereMemoryIsFree(int promptTokens, int outputTokens, String expected) {
     EngineDirectory directory = new EngineDirectory(1);
     Topology topology = Topology.ofOneRegion("z");
     EngineSelector selector =
@@ -152,7 +152,7 @@
   /** A tool engine in each of two zones; the one here has work, demand swings to and fro. */
   @ParameterizedTest(name = "{0} ms there and back, {1} under way here: {2}")
   @CsvSource({"1, 1, here", "1, 5, there", "12, 12, here", "12, 40, there"})
-  void aToolCallPaysTheWayToAnotherZoneAsItWasLearnt(
+  void aToolCallToAnotherZoneCostsTheMeasuredRoundTrip(
       double wayMillis, int underWay, String expected) {
     EngineDirectory directory = new EngineDirectory(1);
     directory.put(new EngineRecord("here", "s", "10.0.0.1", 80, "z", 16, false));
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSlowHomePolicy.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSlowHomePolicy.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class TestSlowHomePolicy {
-  private static final double USUAL_GAP = 30;
+  private static final double USUAL_INTER_EVENT_MILLIS = 30;
   private static final int AGE_MILLIS = 200;
 
   private final EngineDirectory directory = new EngineDirectory(1);
@@ -33,17 +33,17 @@
     engine = directory.ofService("s").get(0);
   }
 
-  private void pace(double factor, long millis) {
+  private void observeSlowdown(double factor, long millis) {
     engine.observeWait(0, millis * 1_000_000);
     for (int i = 0; i < 200; i++) {
-      engine.observeInterEventTime(USUAL_GAP * factor);
+      engine.observeInterEventTime(USUAL_INTER_EVENT_MILLIS * factor);
     }
     for (int i = 0; i < 1_000; i++) {
-      engine.performance().observeInterEventTime(USUAL_GAP);
+      engine.performance().observeInterEventTime(USUAL_INTER_EVENT_MILLIS);
     }
   }
 
-  private boolean home(int promptTokens, long millis) {
+  private boolean allowsHome(int promptTokens, long millis) {
     engine.load().reported(new EngineLoad(0, 4, 0, 0), (millis - AGE_MILLIS) * 1_000_000);
     List<PromptPart> prompt = List.of(new PromptPart("own", promptTokens));
     return policy.allowsHome(engine, new Criteria("s", prompt, "p", true), millis * 1_000_000);
@@ -58,63 +58,64 @@
     "1.7, 400000, true",
     "4.0, 400000, true"
   })
-  void aSlowHomeIsLeftWhenTheRestOfAProgramSavesMoreThanReadingItsPrompt(
+  void programsLeaveASlowHomeIfTheRemainingTurnsSaveMoreThanThePrefill(
       double factor, int promptTokens, boolean stays) {
-    pace(factor, 1_000);
-    assertEquals(stays, home(promptTokens, 1_200));
+    observeSlowdown(factor, 1_000);
+    assertEquals(stays, allowsHome(promptTokens, 1_200));
     assertEquals(stays ? List.of() : List.of(GatewayEvent.ENGINE_LEFT), logged);
   }
 
   @Test
-  void aHomeThatWasLeftIsReturnedToAfterAProgramsTimeAndAtAGoodPace() {
-    pace(4, 1_000);
-    assertFalse(home(500, 1_200));
-    pace(1, 2_000);
-    assertFalse(home(500, 5_100));
-    pace(1.5, 5_150);
-    assertFalse(home(500, 5_400));
-    pace(1.1, 5_450);
-    assertTrue(home(500, 5_600));
-    assertTrue(home(500, 5_700));
+  void programsReturnAfterTheMinimumTimeAndAtAUsualInterEventTime() {
+    observeSlowdown(4, 1_000);
+    assertFalse(allowsHome(500, 1_200));
+    observeSlowdown(1, 2_000);
+    assertFalse(allowsHome(500, 5_100));
+    observeSlowdown(1.5, 5_150);
+    assertFalse(allowsHome(500, 5_400));
+    observeSlowdown(1.1, 5_450);
+    assertTrue(allowsHome(500, 5_600));
+    assertTrue(allowsHome(500, 5_700));
     assertEquals(List.of(GatewayEvent.ENGINE_LEFT, GatewayEvent.ENGINE_RETURNED), logged);
   }
 
   @Test
-  void aPaceOfWhichNothingWasHeardIsTriedAgainByOneStream() {
-    pace(4, 1_000);
-    assertFalse(home(500, 1_200));
-    assertTrue(home(500, 5_300));
+  void anOutdatedInterEventTimeIsTestedByOneStream() {
+    observeSlowdown(4, 1_000);
+    assertFalse(allowsHome(500, 1_200));
+    assertTrue(allowsHome(500, 5_300));
     engine.requestStarted(5_400_000_000L);
-    assertFalse(home(500, 5_400));
-    pace(1, 5_500);
+    assertFalse(allowsHome(500, 5_400));
+    observeSlowdown(1, 5_500);
     engine.requestEnded(5_400_000_000L);
-    assertTrue(home(500, 9_500));
+    assertTrue(allowsHome(500, 9_500));
   }
 
   @Test
-  void oneStreamShowsThePaceAnewAfterALongSilence() {
-    pace(4, 1_000);
+  void oneStreamReplacesAnOutdatedInterEventTime() {
+    observeSlowdown(4, 1_000);
     engine.observeWait(0, 5_100_000_000L);
     for (int i = 0; i < 10; i++) {
-      engine.observeInterEventTime(USUAL_GAP);
+      engine.observeInterEventTime(USUAL_INTER_EVENT_MILLIS);
     }
-    assertEquals(USUAL_GAP, engine.interEventMillis(), USUAL_GAP * 0.1);
+    assertEquals(
+        USUAL_INTER_EVENT_MILLIS, engine.interEventMillis(), USUAL_INTER_EVENT_MILLIS * 0.1);
   }
 
   @Test
-  void withoutAViewOfItsLoadNoHomeIsLeft() {
-    pace(4, 1_000);
+  void programsDoNotLeaveAHomeOfUnknownLoad() {
+    observeSlowdown(4, 1_000);
     Criteria criteria = new Criteria("s", List.of(new PromptPart("own", 500)), "p", true);
     assertTrue(policy.allowsHome(engine, criteria, 1_200_000_000L));
   }
 
   @Test
-  void linesAreWrittenOnceASecondForEachEngine() {
-    pace(4, 1_000);
-    home(500, 1_200);
-    assertTrue(home(500, 5_300));
+  void eventsAreLoggedOncePerSecondForEachEngine() {
+    observeSlowdown(4, 1_000);
+    allowsHome(500, 1_200);
+    assertTrue(allowsHome(500, 5_300));
     engine.requestStarted(5_400_000_000L);
-    assertFalse(home(500, 5_400));
+    assertFalse(allowsHome(500, 5_400));
     engine.requestEnded(5_400_000_000L);
     assertEquals(List.of(GatewayEvent.ENGINE_LEFT, GatewayEvent.ENGINE_RETURNED), logged);
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestStableHash.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestStableHash.java
@@ -13,7 +13,7 @@
     "i-7f3a91c2, 3fa81c, -1508168695",
     "10.0.0.1:7380, tenant/program, -1963250453"
   })
-  void theHashOfTwoTextsIsThatOfBothWithALineFeedBetween(String first, String second, int hash) {
+  void theHashOfTwoTextsEqualsThatOfBothJoinedByALineFeed(String first, String second, int hash) {
     assertEquals(StableHash.of(first + '\n' + second), StableHash.of(first, second));
     assertEquals(hash, StableHash.of(first, second));
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/urgency/TestProgramUrgency.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/urgency/TestProgramUrgency.java
@@ -11,19 +11,19 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 class TestProgramUrgency {
-  private static final long AIM_MILLIS = 3_000;
+  private static final long TARGET_MILLIS = 3_000;
 
   private final ProgramUrgency urgency = new ProgramUrgency();
   private int lastRequest;
 
   /** An identifier of a request that is ranked by its own kind. */
-  private String plainId() {
+  private String unpromotedId() {
     String id = "r" + ++lastRequest;
-    return favoured(id) ? plainId() : id;
+    return promoted(id) ? unpromotedId() : id;
   }
 
-  private static boolean favoured(String id) {
-    return Math.floorMod(StableHash.of(id), ProgramUrgency.FAVOURED_ONE_IN) == 0;
+  private static boolean promoted(String id) {
+    return Math.floorMod(StableHash.of(id), ProgramUrgency.PROMOTED_ONE_IN) == 0;
   }
 
   private int rank(String id, int kind, String program, boolean mayOpen, long left, long nowMs) {
@@ -46,38 +46,38 @@
     "0, 0, 6001, 9",
     "2, 0, 9000, 9",
   })
-  void aProgramThatBeganHereIsRankedByWhatIsLeftOfItsTime(
+  void aProgramThatStartedHereIsRankedByItsRemainingTime(
       int kind, long left, long atMillis, int expected) {
-    int opening = rank(plainId(), kind, "p", true, AIM_MILLIS, 0);
+    int opening = rank(unpromotedId(), kind, "p", true, TARGET_MILLIS, 0);
     assertEquals(5 + Math.min(kind, 2), opening);
-    assertEquals(expected, rank(plainId(), kind, "p", false, left, atMillis));
+    assertEquals(expected, rank(unpromotedId(), kind, "p", false, left, atMillis));
   }
 
   @Test
-  void aFirstTurnThatIsSentAgainIsStillABeginning() {
-    String id = plainId();
-    assertEquals(5, rank(id, 0, "p", true, AIM_MILLIS, 0));
-    assertEquals(5, rank(id, 0, "p", true, AIM_MILLIS - 40, 40));
+  void aFirstTurnThatIsSentAgainKeepsItsLevel() {
+    String id = unpromotedId();
+    assertEquals(5, rank(id, 0, "p", true, TARGET_MILLIS, 0));
+    assertEquals(5, rank(id, 0, "p", true, TARGET_MILLIS - 40, 40));
   }
 
   @Test
-  void aTurnThatComesFromAnotherNodeLateInItsProgramIsNoBeginning() {
-    rank(plainId(), 0, "usual", true, AIM_MILLIS, 0);
-    assertEquals(0, rank(plainId(), 0, "moved", true, 900, 0));
-    assertEquals(5, rank(plainId(), 0, "short", true, 1_600, 0));
+  void aTurnOfAProgramThatStartedElsewhereIsNotItsFirst() {
+    rank(unpromotedId(), 0, "usual", true, TARGET_MILLIS, 0);
+    assertEquals(0, rank(unpromotedId(), 0, "moved", true, 900, 0));
+    assertEquals(5, rank(unpromotedId(), 0, "short", true, 1_600, 0));
   }
 
   @Test
-  void whereNoProgramWasSeenToBeginNoneIsTakenToBeEndingOrOverdue() {
-    assertEquals(2, rank(plainId(), 0, "p", false, 1, 0));
-    assertEquals(8, rank(plainId(), 0, "p", false, 0, 100_000));
+  void withoutAnObservedStartNoProgramIsNearItsTargetOrOverdue() {
+    assertEquals(2, rank(unpromotedId(), 0, "p", false, 1, 0));
+    assertEquals(8, rank(unpromotedId(), 0, "p", false, 0, 100_000));
   }
 
   @Test
   void subAgentsTakeTheRankOfTheirProgram() {
-    rank(plainId(), 1, "p", true, AIM_MILLIS, 0);
-    int firstLine = rank(plainId(), 1, "p", true, 500, 2_500);
-    int subAgent = rank(plainId(), 1, "p", false, 500, 2_500);
+    rank(unpromotedId(), 1, "p", true, TARGET_MILLIS, 0);
+    int firstLine = rank(unpromotedId(), 1, "p", true, 500, 2_500);
+    int subAgent = rank(unpromotedId(), 1, "p", false, 500, 2_500);
     assertEquals(firstLine, subAgent);
   }
 
@@ -85,13 +85,13 @@
   @CsvSource({"0, true, 5", "2, true, 7", "0, false, 2", "1, false, 3", "5, false, 4"})
   void aRequestWithoutAProgramHasTheRankOfItsKind(int kind, boolean stream, int expected) {
     RankedRequest request =
-        new RankedRequest(plainId(), "route", kind, stream, null, false, RankedRequest.ABSENT);
+        new RankedRequest(unpromotedId(), "route", kind, stream, null, false, RankedRequest.ABSENT);
     assertEquals(expected, urgency.rankOf(request, 0));
   }
 
   @ParameterizedTest
   @EnumSource(UrgencyLevel.class)
-  void aLessUrgentKindNeverGoesBeforeAMoreUrgentOneOfTheSameStanding(UrgencyLevel standing) {
+  void aLessUrgentKindNeverRanksBeforeAMoreUrgentOneOfTheSameLevel(UrgencyLevel standing) {
     for (int kind = 0; kind < 12; kind++) {
       assertTrue(standing.rank(kind) <= standing.rank(kind + 1));
       assertTrue(standing.rank(kind) <= UrgencyLevel.LEAST_URGENT);
@@ -99,17 +99,17 @@
   }
 
   @Test
-  void standingsDoNotOverlap() {
+  void levelsDoNotOverlap() {
     for (int i = 1; i < UrgencyLevel.values().length; i++) {
       assertTrue(UrgencyLevel.values()[i - 1].rank(9) < UrgencyLevel.values()[i].rank(0));
     }
   }
 
   @Test
-  void aThirdOfALessUrgentKindIsRankedLikeTheMostUrgentOneAndNeverBeforeIt() {
+  void aThirdOfALessUrgentKindRanksLikeTheMostUrgentOne() {
     int[] ranks =
         IntStream.range(0, 3_000)
-            .map(i -> rank("q" + i, 2, "p" + i, true, AIM_MILLIS, 0))
+            .map(i -> rank("q" + i, 2, "p" + i, true, TARGET_MILLIS, 0))
             .toArray();
     long favoured = IntStream.of(ranks).filter(rank -> rank == 5).count();
     assertTrue(favoured > 900 && favoured < 1_100, favoured + " of 3000");
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/urgency/TestOrderUnderLoad.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/urgency/TestUrgencyUnderLoad.java
@@ -14,8 +14,8 @@
  * One engine that serves 100 requests of usual size a second, and programs of three turns with an
  * aim of a second: what comes to an end, and how often each group of requests is served.
  */
-class TestOrderUnderLoad {
-  private static final long AIM_MILLIS = 1_000;
+class TestUrgencyUnderLoad {
+  private static final long TARGET_MILLIS = 1_000;
   private static final long DEADLINE_MILLIS = 3_000;
   private static final long WORK_MILLIS = 10;
   private static final int TURNS = 3;
@@ -26,12 +26,12 @@
 
   private final ProgramUrgency urgency = new ProgramUrgency();
   private final QueueingEngine engine = new QueueingEngine();
-  private final Map<String, int[]> servedAndAsked = new TreeMap<>();
+  private final Map<String, int[]> servedAndSent = new TreeMap<>();
   private final Random random = new Random(1);
   private final List<Load> loads = new ArrayList<>();
   private long nowMillis;
   private int lastProgram;
-  private int programsBegunInTime;
+  private int programsStartedInTime;
   private int programsInTime;
 
   /** Programs of a group that begin at random, so many milliseconds apart on average. */
@@ -39,11 +39,11 @@
 
   private void program(Load load, String program, long begunMillis, int turn) {
     long sentMillis = nowMillis;
-    long left = Math.max(0, begunMillis + AIM_MILLIS - nowMillis);
+    long left = Math.max(0, begunMillis + TARGET_MILLIS - nowMillis);
     RankedRequest request =
         new RankedRequest(
             program + "." + turn, load.group(), load.kind(), true, program, turn == 0, left);
-    int[] counts = servedAndAsked.computeIfAbsent(load.group(), name -> new int[2]);
+    int[] counts = servedAndSent.computeIfAbsent(load.group(), name -> new int[2]);
     counts[1]++;
     engine.accept(
         urgency.rankOf(request, nowMillis * 1_000_000),
@@ -51,18 +51,18 @@
         load.workMillis(),
         () -> {
           counts[0]++;
-          if (turn == 0 && nowMillis <= begunMillis + AIM_MILLIS / 2) {
-            programsBegunInTime++;
+          if (turn == 0 && nowMillis <= begunMillis + TARGET_MILLIS / 2) {
+            programsStartedInTime++;
           }
           if (turn + 1 < TURNS) {
             program(load, program, begunMillis, turn + 1);
-          } else if (nowMillis <= begunMillis + AIM_MILLIS) {
+          } else if (nowMillis <= begunMillis + TARGET_MILLIS) {
             programsInTime++;
           }
         });
   }
 
-  private boolean comesNow(long everyMillis) {
+  private boolean arrivesNow(long everyMillis) {
     return random.nextDouble() * everyMillis < 1;
   }
 
@@ -70,7 +70,7 @@
     for (; nowMillis < BURST_MILLIS + DEADLINE_MILLIS; nowMillis++) {
       engine.advanceTo(nowMillis);
       for (Load load : loads) {
-        if (nowMillis < BURST_MILLIS && comesNow(load.everyMillis())) {
+        if (nowMillis < BURST_MILLIS && arrivesNow(load.everyMillis())) {
           program(load, "p" + lastProgram++, nowMillis, 0);
         }
       }
@@ -78,13 +78,13 @@
   }
 
   private double served(String group) {
-    int[] counts = servedAndAsked.get(group);
+    int[] counts = servedAndSent.get(group);
     return (double) counts[0] / counts[1];
   }
 
   private double servedOfAll() {
-    int served = servedAndAsked.values().stream().mapToInt(counts -> counts[0]).sum();
-    int asked = servedAndAsked.values().stream().mapToInt(counts -> counts[1]).sum();
+    int served = servedAndSent.values().stream().mapToInt(counts -> counts[0]).sum();
+    int asked = servedAndSent.values().stream().mapToInt(counts -> counts[1]).sum();
     return (double) served / asked;
   }
 
@@ -95,10 +95,10 @@
   }
 
   @Test
-  void atAFullQueueATurnThatCanEndInItsAimGoesBeforeOneWhoseAimIsPast() {
+  void aTurnThatCanMeetItsTargetRanksBeforeOneThatMissedIt() {
     List<String> order = new ArrayList<>();
-    rank("late", "late.0", true, AIM_MILLIS, 0);
-    rank("timely", "timely.0", true, AIM_MILLIS, 900);
+    rank("late", "late.0", true, TARGET_MILLIS, 0);
+    rank("timely", "timely.0", true, TARGET_MILLIS, 900);
     int late = rank("late", "late.1", false, 0, 1_400);
     int timely = rank("timely", "timely.1", false, 500, 1_400);
     engine.accept(late, 9_000, WORK_MILLIS, () -> order.add("late"));
@@ -117,33 +117,34 @@
    * half of its time left comes to its end in the rest.
    */
   @Test
-  void underThreeTimesTheRoomForTenSecondsProgramsThatBeginInTimeEndInTime() {
+  void underThreeTimesTheCapacityProgramsThatStartInTimeFinishInTime() {
     loads.add(new Load("one", 1, 10, WORK_MILLIS));
     run();
-    assertTrue(programsBegunInTime > 0);
+    assertTrue(programsStartedInTime > 0);
     assertTrue(
-        programsInTime >= 0.9 * programsBegunInTime, programsInTime + " of " + programsBegunInTime);
+        programsInTime >= 0.9 * programsStartedInTime,
+        programsInTime + " of " + programsStartedInTime);
   }
 
   /** Twice what the engine can serve of the most urgent kind, half as much of the least urgent. */
   @Test
-  void aBurstOfAnUrgentKindForTenSecondsStarvesNoLessUrgentOne() {
+  void aBurstOfAnUrgentKindForTenSecondsDoesNotStarveALessUrgentOne() {
     loads.add(new Load("urgent", 0, 15, WORK_MILLIS));
     loads.add(new Load("patient", 2, 60, WORK_MILLIS));
     run();
     assertNotStarved("patient");
-    assertTrue(served("urgent") >= served("patient"), servedAndAsked.toString());
+    assertTrue(served("urgent") >= served("patient"), servedAndSent.toString());
   }
 
   /** The same with nothing of it under way: single requests without a program. */
   @Test
-  void aBurstOfUrgentSingleRequestsForTenSecondsStarvesNoLessUrgentKind() {
+  void aBurstOfUrgentSingleRequestsForTenSecondsDoesNotStarveALessUrgentKind() {
     for (; nowMillis < BURST_MILLIS + DEADLINE_MILLIS; nowMillis++) {
       engine.advanceTo(nowMillis);
-      if (nowMillis < BURST_MILLIS && comesNow(5)) {
+      if (nowMillis < BURST_MILLIS && arrivesNow(5)) {
         single("urgent", 0);
       }
-      if (nowMillis < BURST_MILLIS && comesNow(20)) {
+      if (nowMillis < BURST_MILLIS && arrivesNow(20)) {
         single("patient", 2);
       }
     }
@@ -155,7 +156,7 @@
     RankedRequest request =
         new RankedRequest(
             "s" + lastProgram++, group, kind, false, null, false, RankedRequest.ABSENT);
-    int[] counts = servedAndAsked.computeIfAbsent(group, name -> new int[2]);
+    int[] counts = servedAndSent.computeIfAbsent(group, name -> new int[2]);
     counts[1]++;
     engine.accept(
         urgency.rankOf(request, nowMillis * 1_000_000),
@@ -166,7 +167,7 @@
 
   /** One tenant begins eight times as many programs as another of the same rank. */
   @Test
-  void aTenantWithEightTimesTheLoadOfAnotherStarvesItNot() {
+  void aTenantWithEightTimesTheLoadOfAnotherDoesNotStarveIt() {
     loads.add(new Load("loud", 1, 10, WORK_MILLIS));
     loads.add(new Load("quiet", 1, 80, WORK_MILLIS));
     run();
@@ -175,7 +176,7 @@
 
   /** Requests of four times the usual work among three times the room of usual ones. */
   @Test
-  void requestsOfLargeSizeAreServedLikeOthers() {
+  void largeRequestsAreServedLikeOthers() {
     loads.add(new Load("usual", 1, 15, WORK_MILLIS));
     loads.add(new Load("large", 1, 120, 4 * WORK_MILLIS));
     run();
@@ -184,13 +185,13 @@
 
   /** Within twice the room, the later turns of a program are served at least like its first. */
   @Test
-  void noSessionWaitsBehindThoseThatBeginAfterIt() {
+  void aLaterTurnDoesNotWaitForProgramsThatStartAfterIt() {
     loads.add(new Load("one", 1, 15, WORK_MILLIS));
     String session = "session";
-    rank(session, "session.0", true, AIM_MILLIS, 0);
+    rank(session, "session.0", true, TARGET_MILLIS, 0);
     boolean[] served = new boolean[1];
     engine.accept(
-        rank(session, "session.1", false, AIM_MILLIS - 100, 100),
+        rank(session, "session.1", false, TARGET_MILLIS - 100, 100),
         DEADLINE_MILLIS,
         WORK_MILLIS,
         () -> served[0] = true);
