--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/BackendSelector.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/BackendSelector.java
@@ -7,17 +7,17 @@
 import org.baykeel.gateway.configuration.Route;
 
 /**
- * Splits a route's requests among its services by weight. Requests with a key (a session, an
- * object) always go to the same part; the others take smooth weighted round robin, which keeps the
- * shares exact over any run of requests.
+ * Distributes the requests of a route over its services by weight. Requests with a key (a session
+ * or an object) always go to the same service. Requests without a key use smooth weighted round
+ * robin, which keeps the shares exact over any sequence of requests.
  */
 public final class BackendSelector {
   private final Map<String, long[]> creditByRoute = new HashMap<>();
 
   /**
-   * The service for a request.
+   * Returns the service for a request.
    *
-   * @param key what the request must stay together with, or null
+   * @param key requests with the same key go to the same service; null if the request has none
    */
   public String choose(Route route, String key) {
     List<Backend> backends = route.backends();
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/EngineSelector.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/EngineSelector.java
@@ -15,59 +15,62 @@
 import org.baykeel.gateway.topology.Topology;
 
 /**
- * Picks the engine at which a request is predicted to end first: its wait, reading what the engine
- * does not keep, the events of an ordinary answer at the engine's present pace, the way to another
- * zone or region. Which engines may run it at all is a matter of policies.
+ * Selects the engine at which a request is predicted to complete first. The prediction adds up the
+ * wait at the engine, the prefill of prompt tokens that it has not cached, the events of a usual
+ * response at its present inter-event time, and the network latency to another zone or region.
+ * Policies decide which engines may run the request at all.
  *
- * <p>Every request has a home among the engines, the same at each process: a program's turns find
- * what they share there even when they arrive through different processes.
+ * <p>Every request with a home key has a home engine, which is the same at each node of a region:
+ * turns of a program find the prompt prefix that they share there even when they arrive through
+ * different nodes.
  */
 public final class EngineSelector {
   /**
-   * What reading counts for in a choice, as a multiple of its own time: while an engine reads, all
-   * that run there stand still.
+   * Weight of the prefill time in a selection. It is above 1 because all requests that run at an
+   * engine pause while it prefills a prompt.
    */
   private static final double PREFILL_WEIGHT = 2.5;
 
-  /** What an observed wait counts for; it is noisy and may be over when the request arrives. */
+  /** Weight of an observed wait, which is noisy and may be over when the request arrives. */
   private static final double WAIT_WEIGHT = 0.5;
 
-  /** An engine counts as slow from this multiple of the usual time between events. */
+  /** An engine counts as slow from this multiple of the median inter-event time. */
   private static final double SLOW_FACTOR = 1.6;
 
   /**
-   * What a stream that this process has under way at an engine adds to the next one there, as a
-   * part of the usual time of a stream. Small: streams share the steps of an engine, and its pace
-   * is observed by itself.
+   * The cost of each stream that this node has in flight at an engine, as a part of the usual
+   * stream time. Small, because streams share the steps of an engine and its inter-event time is
+   * observed separately.
    */
   private static final double STREAM_IN_FLIGHT_WEIGHT = 1.0 / 200;
 
   /**
-   * For streams that belong to no program an engine's pace counts in full once it differs from the
-   * usual one by this factor, either way; below, the difference is that of what happens to run.
+   * For streams without a home key the inter-event time of an engine of known load counts in full
+   * once it differs from the median by this factor in either direction. A smaller difference is
+   * caused by whatever the engine happens to run.
    */
   private static final double EQUAL_FACTOR = 1.25;
 
   /**
-   * What speaks against an engine that is expected to be full. More than any wait that is worth its
-   * while; less than what speaks against an engine that probably loses the request.
+   * Penalty for an engine that is expected to be full. More than any wait that is worthwhile, less
+   * than the penalty for an engine that would probably lose the request.
    */
   private static final double FULL_PENALTY_MILLIS = 10_000;
 
-  /** What bytes to another region count for. */
+  /** Cost of the transfer of bytes to another region. */
   private static final double OTHER_REGION_TRANSFER_MILLIS = 4.0;
 
   /**
-   * What the way to another region and back counts for a stream, as a multiple of itself. A line of
-   * turns that moves reads its prompt anew once and then pays the way with each turn, so it leaves
-   * its region for a wait that is longer than several ways, and returns when that is over.
+   * Weight of the round trip to another region for a stream. A conversation that moves prefills its
+   * prompt once more and then pays the round trip with each turn, so it should leave its region
+   * only for a wait longer than several round trips, and return when that wait is over.
    */
   private static final double OTHER_REGION_ROUND_TRIP_WEIGHT = 2.0;
 
-  /** What a home is worth, in prompts of one turn that need not be read again. */
+  /** Bonus of the home engine, in units of the prefill time of the new tokens of one turn. */
   private static final double HOME_BONUS_TURNS = 4.0;
 
-  /** Engines that are this close to each other, in places of their own work, count as equal. */
+  /** Engines whose cost differs by less than this many slot times count as equal. */
   private static final double TIE_WIDTH_SLOTS = 0.5;
 
   private final EngineDirectory directory;
@@ -78,16 +81,19 @@
   private final WaitPrediction waitPrediction;
   private double[] sortedInterEventMillis = new double[0];
 
-  /** Engines that may run the request in hand; kept between choices, which come one at a time. */
+  /**
+   * Engines that may run the request of the current selection. Reused between selections, which
+   * never overlap.
+   */
   private final List<Engine> candidates = new ArrayList<>();
 
   /**
    * Creates a selector.
    *
-   * @param topology tells how near engines are
-   * @param roundTrips how long the way to them is
-   * @param policies all of them must allow an engine
-   * @param random settles ties, so that nodes that know the same don't all pick the same engine
+   * @param topology gives the zone and region of engines
+   * @param roundTrips gives the round trips to them
+   * @param policies an engine is a candidate only if all of them allow it
+   * @param random breaks ties, so that nodes with the same view don't all select the same engine
    */
   public EngineSelector(
       EngineDirectory directory,
@@ -103,7 +109,7 @@
     this.waitPrediction = new WaitPrediction(random);
   }
 
-  /** Creates a selector for zones of one region, without policies. */
+  /** Creates a selector for the zones of one region, without policies. */
   public EngineSelector(EngineDirectory directory, String ownZone, RandomGenerator random) {
     this(directory, Topology.ofOneRegion(ownZone), random);
   }
@@ -113,13 +119,13 @@
   }
 
   /**
-   * What the choice depends on.
+   * The properties of a request that a selection depends on.
    *
    * @param service the service that is to run the request
-   * @param prompt the parts of its prompt, or none
-   * @param homeKey what the request belongs together with, or null
+   * @param prompt the parts of its prompt; empty if the request is not a stream
+   * @param homeKey the key by which requests share a home engine, or null
    * @param repeatable whether it may be sent to another engine after an unknown outcome
-   * @param residency where it may run
+   * @param residency the regions where it may run
    * @param outputTokens the most tokens that it generates; 0 if that is not known
    */
   public record Criteria(
@@ -130,7 +136,7 @@
       Residency residency,
       int outputTokens) {
 
-    /** What a request depends on whose output is not bounded. */
+    /** Creates the criteria of a request whose output length is not known. */
     public Criteria(
         String service,
         List<PromptPart> prompt,
@@ -140,29 +146,33 @@
       this(service, prompt, homeKey, repeatable, residency, 0);
     }
 
-    /** What a request depends on that may run anywhere. */
+    /**
+     * Creates the criteria of a request that may run in any region and whose output length is not
+     * known.
+     */
     public Criteria(String service, List<PromptPart> prompt, String homeKey, boolean repeatable) {
       this(service, prompt, homeKey, repeatable, Residency.ANY);
     }
   }
 
   /**
-   * What was chosen.
+   * The result of a selection.
    *
-   * @param engine the engine
-   * @param predictedMillis what speaks against it, in milliseconds
-   * @param inRegionMillis the same for the best engine of this node's region; negative if none may
-   *     run the request
-   * @param locality where the engine is
+   * @param engine the selected engine
+   * @param predictedMillis its predicted cost, in milliseconds
+   * @param inRegionMillis the cost of the best engine of this node's region, in milliseconds;
+   *     negative if no engine of the region may run the request
+   * @param locality whether the selected engine is in the zone or region of this node
    */
   public record Choice(
       Engine engine, double predictedMillis, double inRegionMillis, Locality locality) {}
 
   /**
-   * The best engine that is not excluded; the request counts as sent to it.
+   * Selects the best engine that is not excluded. The policies are notified and count the request
+   * as sent to it.
    *
-   * @param excluded identifiers of engines that have had this request
-   * @return an engine, or null if none takes work
+   * @param excluded identifiers of engines that were already tried for this request
+   * @return an engine, or null if no engine accepts work or the best one is expected to be full
    */
   public Engine select(Criteria criteria, Set<String> excluded, long nowNanos) {
     Choice choice = choose(criteria, excluded, nowNanos);
@@ -170,11 +180,11 @@
   }
 
   /**
-   * The best engine that is not excluded, and how it compares with those of this node's region; the
-   * request counts as sent to it.
+   * Selects the best engine that is not excluded, and compares it with those of this node's region.
+   * The policies are notified and count the request as sent to it.
    *
-   * @param excluded identifiers of engines that have had this request
-   * @return a choice, or null if no engine takes work or the best one is expected to be full
+   * @param excluded identifiers of engines that were already tried for this request
+   * @return a choice, or null if no engine accepts work or the best one is expected to be full
    */
   public Choice choose(Criteria criteria, Set<String> excluded, long nowNanos) {
     collectCandidates(criteria, excluded, nowNanos);
@@ -209,11 +219,12 @@
   }
 
   /**
-   * When an engine that is worth a wait is expected to have a place for a request.
+   * Returns when an engine that is worth waiting for is expected to have capacity for a request. If
+   * no engine is worth waiting for, any engine that accepts work counts.
    *
-   * @param excluded identifiers of engines that have had this request
-   * @return a moment, the present one if an engine may have a place; {@link Long#MAX_VALUE} if none
-   *     takes work
+   * @param excluded identifiers of engines that were already tried for this request
+   * @return the present moment if an engine may have capacity; {@link Long#MAX_VALUE} if no engine
+   *     accepts work
    */
   public long nextCapacityNanos(Criteria criteria, Set<String> excluded, long nowNanos) {
     collectCandidates(criteria, excluded, nowNanos);
@@ -231,7 +242,10 @@
     return earliest == Long.MAX_VALUE ? earliestOfAny : earliest;
   }
 
-  /** What speaks against an engine whatever its load: how far it is trusted, and the policies. */
+  /**
+   * Returns the penalty of an engine that does not depend on its load: that of its health and those
+   * of the policies.
+   */
   private double healthAndPolicyPenaltyMillis(
       Engine engine, Criteria criteria, double responseMillis, long nowNanos) {
     double millis = engine.health(nowNanos).penaltyMillis(criteria.repeatable(), responseMillis);
@@ -241,7 +255,7 @@
     return millis;
   }
 
-  /** The usual time of a whole answer to a request, in milliseconds. */
+  /** Returns the usual time of a whole response to a request, in milliseconds. */
   public double usualResponseMillis(Criteria criteria) {
     ServicePerformance performance = directory.performanceOf(criteria.service());
     return criteria.prompt().isEmpty()
@@ -275,7 +289,7 @@
     return topology.localityOf(engine.record().zone());
   }
 
-  /** The median time between events over the engines of a service. */
+  /** Returns the median inter-event time over the engines of a service. */
   private double medianInterEventMillis(String service, long nowNanos) {
     List<Engine> engines = directory.ofService(service);
     int count = engines.size();
@@ -318,10 +332,11 @@
   }
 
   /**
-   * The wait of a stream of a program: what this process has seen of waits there, or what the
-   * shared view tells beyond the time of reading the whole prompt twice. A program that moves and
-   * returns reads it at both engines, and all that run there wait for it, so moving for less makes
-   * all of them slower.
+   * Predicts the wait of a stream of a program, or of any stream at an engine of unknown load: the
+   * larger of the wait that this node has observed at the engine and the part of the wait in the
+   * load view that exceeds twice the prefill of the whole prompt. A program that moves and returns
+   * prefills its prompt at both engines, and everything that runs there waits for that, so moving
+   * for a shorter wait would slow down all of them.
    */
   private double programWaitMillis(Engine engine, Criteria criteria, long nowNanos) {
     double observedMillis = engine.waitMillis(nowNanos) * WAIT_WEIGHT;
@@ -333,7 +348,10 @@
     return Math.max(observedMillis, waitPrediction.reportedMillis(engine) - prefillMillis);
   }
 
-  /** The wait of a stream that belongs to no program, and so may go wherever there is room. */
+  /**
+   * Predicts the wait of a stream without a home key, which may go to any engine with capacity, at
+   * an engine of known load.
+   */
   private double independentWaitMillis(Engine engine, Criteria criteria) {
     if (engine.cachedPrefixes().containsOwnPart(criteria.prompt())) {
       return waitPrediction.reportedMillis(engine);
@@ -344,10 +362,10 @@
   }
 
   /**
-   * What an engine needs for an event beyond the usual time.
+   * Returns by how much the inter-event time of an engine exceeds the usual one, in milliseconds.
    *
-   * @param independent whether the stream may go wherever there is room; negative then if it is
-   *     faster
+   * @param independent whether the stream may go to any engine; the result is then negative for an
+   *     engine that is faster than usual
    */
   private static double excessInterEventMillis(
       Engine engine, boolean independent, double medianMillis, long nowNanos) {
@@ -372,7 +390,7 @@
     };
   }
 
-  /** The time after which an engine that is full is expected to have a place again. */
+  /** Returns the time after which a full engine is expected to have a free slot. */
   private static double slotMillis(Engine engine) {
     return engine.performance().nonStreamMillis() / slots(engine);
   }
@@ -385,7 +403,10 @@
     return random.nextDouble() * TIE_WIDTH_SLOTS * slotMillis(engine);
   }
 
-  /** Whether an engine is known here to keep something of the prompt's own, last part. */
+  /**
+   * Returns whether any engine is believed to have cached the last part of the prompt, which is not
+   * shared with other programs.
+   */
   private boolean cachedAnywhere(Criteria criteria) {
     if (criteria.prompt().isEmpty()) {
       return true;
@@ -403,7 +424,10 @@
     return performance.prefillMillis(performance.newTokens()) * HOME_BONUS_TURNS * PREFILL_WEIGHT;
   }
 
-  /** What earlier turns through other processes are assumed to have left at the home. */
+  /**
+   * Returns the value of the prompt tokens that earlier turns through other nodes are assumed to
+   * have left in the cache of the home engine.
+   */
   private static double assumedHomeCacheMillis(Engine home, Criteria criteria) {
     ServicePerformance performance = home.performance();
     int uncached = home.cachedPrefixes().uncachedTokens(criteria.prompt());
@@ -412,8 +436,9 @@
   }
 
   /**
-   * Rendezvous hashing over the engines of this node's region, or over all if it has none: each
-   * node of a region finds the same home, and a program whose region stays the same keeps it.
+   * Returns the home engine by rendezvous hashing over the engines of this node's region, or over
+   * all engines if the region has none. Each node of a region finds the same home engine, and a
+   * program keeps it as long as its region does not change.
    */
   private Engine home(Criteria criteria, long nowNanos) {
     if (criteria.homeKey() == null) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/MemoryPolicy.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/MemoryPolicy.java
@@ -6,16 +6,20 @@
 import org.baykeel.gateway.directory.ServicePerformance;
 
 /**
- * Keeps streams from engines whose memory can't take them: there a stream is preempted, or another
- * one is, and its prompt is read anew. The penalty grows with what is missing, so that among
- * engines that all lack room the largest streams go where most is left.
+ * Penalizes engines whose free memory is too small for a stream: there the stream or another one
+ * would be preempted and its prompt prefilled again. The penalty grows with the missing memory, so
+ * that among engines that all have too little, the largest streams go to the one with the most free
+ * memory.
  *
- * <p>Says nothing of an engine that does not tell its memory. A stream that belongs to a program
- * stays where the program's earlier turns are kept, as long as it can ever run there: anywhere else
- * its whole prompt would be read anew for certain.
+ * <p>Does not apply to an engine that does not report its memory. A stream with a home key has no
+ * penalty as long as the engine could ever run it, so that it stays where the earlier turns of its
+ * program are cached: at any other engine its whole prompt would certainly be prefilled again.
  */
 public final class MemoryPolicy implements EnginePolicy {
-  /** More than what speaks against an engine that has just failed: it can never run the stream. */
+  /**
+   * More than the penalty for an engine that has just failed, since the engine can never run the
+   * stream.
+   */
   private static final double NEVER_FITS_PENALTY_MILLIS = 200_000;
 
   @Override
@@ -47,8 +51,9 @@
   }
 
   /**
-   * The own part, which may have given way, and the output. Parts that are shared are kept for
-   * other requests as well, also where this process has not seen it.
+   * Returns the tokens of the last part of the prompt, which may have been evicted, and of the
+   * output. The other parts are shared and are assumed to be cached for other requests, even if
+   * this node has not observed that.
    */
   private static int requiredTokens(EngineSelector.Criteria criteria) {
     List<PromptPart> prompt = criteria.prompt();
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/SlowHomePolicy.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/SlowHomePolicy.java
@@ -9,51 +9,55 @@
 import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
- * Takes the programs of a slow engine to their next home, and back.
+ * Moves the programs of a slow engine to their next home engine, and back.
  *
- * <p>A home is left when its pace is slow and what the usual rest of a program would save elsewhere
- * exceeds reading the prompt again. It is a home again when its pace is nearly the usual one, but
- * not before the time of a program has passed; between the two bounds nothing changes. Engines
- * whose load is not known are neither left nor returned to.
+ * <p>An engine stops being a home once it is slow and the remaining turns of a usual program would
+ * save more time elsewhere than the prefill of the prompt costs. It becomes a home again when its
+ * inter-event time is nearly the usual one and at least the usual duration of a program has passed;
+ * between the two thresholds nothing changes. While the load of an engine is not known, the engine
+ * may be a home and its state does not change.
  */
 public final class SlowHomePolicy implements EnginePolicy {
-  /** A home may be left from this multiple of the usual time between events. */
+  /** Programs may leave an engine from this multiple of the usual inter-event time. */
   private static final double LEAVE_FACTOR = 1.6;
 
-  /** It is returned to below this one. */
+  /** Programs may return to an engine below this multiple of the usual inter-event time. */
   private static final double RETURN_FACTOR = 1.25;
 
-  /** The turns that a program usually has before it. */
+  /** Turns that a program usually still has to run. */
   private static final double REMAINING_TURNS = 4;
 
-  /** About the time of a program: programs that moved are not moved back within it. */
+  /** About the duration of a program: programs that moved are not moved back within it. */
   private static final long MIN_AWAY_NANOS = 4_000_000_000L;
 
   private static final long LOG_INTERVAL_NANOS = 1_000_000_000L;
 
-  /** More engines than are slow at a time; those that were left first are forgotten first. */
+  /**
+   * More engines than are slow at the same time; when it is exceeded, the engine that was added
+   * first is evicted.
+   */
   private static final int MAX_ENGINES = 4_096;
 
   private final GatewayLog log;
-  private final Map<String, LeftHome> homes =
+  private final Map<String, HomeState> homes =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, LeftHome> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<String, HomeState> eldest) {
           return size() > MAX_ENGINES;
         }
       };
 
-  /** An engine that was left at least once. */
-  private static final class LeftHome {
-    private boolean left;
-    private long leftNanos;
+  /** The state of an engine that programs have left at least once. */
+  private static final class HomeState {
+    private boolean avoided;
+    private long avoidedSinceNanos;
     private long loggedNanos;
     private boolean logged;
   }
 
-  /** Creates a policy by which no engine is left yet. */
+  /** Creates a policy in which every engine may be a home. */
   public SlowHomePolicy(GatewayLog log) {
     this.log = log;
   }
@@ -68,26 +72,26 @@
     if (criteria.prompt().isEmpty() || !engine.load().known(nowNanos)) {
       return true;
     }
-    LeftHome home = homes.isEmpty() ? null : homes.get(engine.record().id());
-    if (home != null && home.left) {
+    HomeState home = homes.isEmpty() ? null : homes.get(engine.record().id());
+    if (home != null && home.avoided) {
       return returnIfRecovered(engine, home, nowNanos);
     }
     if (!leavingSavesTime(engine, criteria, nowNanos)) {
       return true;
     }
-    LeftHome leaving = homes.computeIfAbsent(engine.record().id(), id -> new LeftHome());
-    leaving.left = true;
-    leaving.leftNanos = nowNanos;
+    HomeState leaving = homes.computeIfAbsent(engine.record().id(), id -> new HomeState());
+    leaving.avoided = true;
+    leaving.avoidedSinceNanos = nowNanos;
     logOnceASecond(GatewayEvent.ENGINE_LEFT, engine, leaving, nowNanos);
     return false;
   }
 
-  private boolean returnIfRecovered(Engine engine, LeftHome home, long nowNanos) {
+  private boolean returnIfRecovered(Engine engine, HomeState home, long nowNanos) {
     boolean slow = slowdown(engine, nowNanos) >= RETURN_FACTOR;
-    if (slow || nowNanos - home.leftNanos < MIN_AWAY_NANOS) {
+    if (slow || nowNanos - home.avoidedSinceNanos < MIN_AWAY_NANOS) {
       return false;
     }
-    home.left = false;
+    home.avoided = false;
     logOnceASecond(GatewayEvent.ENGINE_RETURNED, engine, home, nowNanos);
     return true;
   }
@@ -103,7 +107,10 @@
     return savedMillis * REMAINING_TURNS > performance.prefillMillis(tokens);
   }
 
-  /** The time between two events of its next stream, as a multiple of the usual one. */
+  /**
+   * Returns the expected inter-event time of the engine's next stream, as a multiple of the usual
+   * one.
+   */
   private static double slowdown(Engine engine, long nowNanos) {
     return engine.interEventMillis(nowNanos) / engine.performance().interEventMillis();
   }
@@ -112,7 +119,7 @@
     return engine.interEventMillis(nowNanos) * engine.performance().eventsPerStream();
   }
 
-  private void logOnceASecond(GatewayEvent event, Engine engine, LeftHome home, long nowNanos) {
+  private void logOnceASecond(GatewayEvent event, Engine engine, HomeState home, long nowNanos) {
     if (home.logged && nowNanos - home.loggedNanos < LOG_INTERVAL_NANOS) {
       return;
     }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/StableHash.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/StableHash.java
@@ -1,20 +1,23 @@
 package org.baykeel.gateway.scheduling;
 
-/** A hash that is the same in every process, so that nodes agree without talking. */
+/** A hash that is the same in every process, so that nodes agree without communicating. */
 public final class StableHash {
   private static final int OFFSET_BASIS = 0x811C9DC5;
   private static final int PRIME = 0x01000193;
 
   private StableHash() {}
 
-  /** The FNV-1a hash of a text, with its bits mixed for use modulo small numbers. */
+  /**
+   * Returns the FNV-1a hash of a text, with its bits mixed so that it can be used modulo small
+   * numbers.
+   */
   public static int of(String text) {
     return mix(add(OFFSET_BASIS, text));
   }
 
   /**
-   * The hash of two texts, for rendezvous hashing: that of both with a line feed between them,
-   * without putting them together, since a choice asks for one with each engine.
+   * Returns the hash of two texts joined by a line feed, for rendezvous hashing. It does not
+   * allocate the joined text, since a selection computes one hash for each engine.
    */
   public static int of(String first, String second) {
     int hash = add(OFFSET_BASIS, first);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/WaitPrediction.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/WaitPrediction.java
@@ -5,16 +5,17 @@
 import org.baykeel.gateway.directory.Engine;
 
 /**
- * Predicts from the shared view of load how long an engine keeps a request waiting.
+ * Predicts from the load view how long a request waits at an engine.
  *
- * <p>The view is late and nearly the same at all nodes, so an engine that looks empty would get the
- * work of all of them until the next report. Therefore an engine that differs from the mean of its
- * service is taken as it looks only in a part of the choices: as many as fill the difference while
- * the view is old, by the rate at which the engines end what they run. The other choices take it at
- * the mean. A difference that work of the view's own age would level out says next to nothing, and
- * one that it could not is always believed.
+ * <p>The load view is delayed and nearly the same at all nodes, so an engine that looks empty would
+ * get the requests of all of them until its next report. Therefore the reported wait of an engine
+ * that differs from the mean of the candidates is used only in a part of the selections, and the
+ * mean in the others. The part is such that, at the rate at which the engines complete requests,
+ * just enough requests follow the reported wait within the age of the view to level out the
+ * difference. A difference that is small compared with the requests of that time is therefore
+ * rarely used, and one that they could not level out is always used.
  *
- * <p>Used for one choice after the other: {@link #survey} begins each.
+ * <p>Serves one selection at a time; {@link #begin} starts each.
  */
 final class WaitPrediction {
   private final RandomGenerator random;
@@ -26,16 +27,16 @@
   /**
    * Creates a prediction.
    *
-   * @param random decides which choices take an engine as it looks
+   * @param random decides in which selections the reported wait is used
    */
   WaitPrediction(RandomGenerator random) {
     this.random = random;
   }
 
   /**
-   * Begins a choice.
+   * Starts a selection.
    *
-   * @param engines those that may run the request
+   * @param engines the candidates, which may run the request
    * @param stream whether the request is a stream
    */
   void begin(List<Engine> engines, boolean stream, long nowNanos) {
@@ -54,17 +55,20 @@
     meanMillis = known == 0 ? 0 : sumMillis / known;
   }
 
-  /** Whether the shared view tells of an engine. */
+  /** Returns whether the load view has a current report of an engine. */
   boolean known(Engine engine) {
     return engine.load().known(nowNanos);
   }
 
-  /** The wait at an engine whose load is known, as the view has it, in milliseconds. */
+  /** Returns the wait at an engine of known load according to the load view, in milliseconds. */
   double reportedMillis(Engine engine) {
     return engine.load().waiting(slots(engine), nowNanos) * slotMillis(engine);
   }
 
-  /** The wait at an engine whose load is known, for a request that has no tie to it. */
+  /**
+   * Returns the predicted wait at an engine of known load for a request that is not bound to it, in
+   * milliseconds.
+   */
   double expectedMillis(Engine engine) {
     double reported = reportedMillis(engine);
     boolean shorter = reported <= meanMillis;
@@ -87,7 +91,7 @@
     return engine.load().ageNanos(nowNanos) / 1e6;
   }
 
-  /** The usual time until one of an engine's places comes free while all are taken. */
+  /** Returns the usual time until one of an engine's slots is free while all are taken. */
   private double slotMillis(Engine engine) {
     return responseMillis(engine) / slots(engine);
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/EngineSimulation.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/EngineSimulation.java
@@ -17,8 +17,8 @@
 import org.baykeel.gateway.topology.Topology;
 
 /**
- * Engines with places and queues in virtual time, and nodes that send to them by what they observe
- * themselves and by reports of load that reach all of them late.
+ * Engines with slots and queues in virtual time, and nodes that select among them by their own
+ * observations and by load reports that reach all nodes late.
  */
 final class EngineSimulation {
   static final long STEP_MILLIS = 5;
@@ -36,7 +36,7 @@
   private final Random random = new Random(11);
   private long nowMillis = 1_000;
 
-  /** One engine: the requests that it runs and those that wait. */
+  /** One engine with its running and waiting requests. */
   static final class SimulatedEngine {
     private final String id;
     private final List<Request> running = new ArrayList<>();
@@ -56,7 +56,7 @@
     }
   }
 
-  /** One request: where it came from and what is left of it. */
+  /** One request, with the engine it was sent to and its remaining work. */
   static final class Request {
     private final Engine engine;
     private final long sentMillis;
@@ -65,10 +65,10 @@
     private int events;
     private long endedMillis = -1;
 
-    private Request(Engine seen, long sentMillis, double leftMillis) {
-      this.engine = seen;
+    private Request(Engine engine, long sentMillis, double remainingMillis) {
+      this.engine = engine;
       this.sentMillis = sentMillis;
-      this.remainingMillis = leftMillis;
+      this.remainingMillis = remainingMillis;
     }
 
     String engineId() {
@@ -79,7 +79,7 @@
       return sentMillis;
     }
 
-    /** The time until it ended; as good as endless if it did not. */
+    /** Returns the time until the request ended; {@link Long#MAX_VALUE} if it did not. */
     long tookMillis() {
       return endedMillis < 0 ? Long.MAX_VALUE : endedMillis - sentMillis;
     }
@@ -123,16 +123,16 @@
     return engines.get(index);
   }
 
-  /** Gives an engine work that no node knows of. */
+  /** Adds requests to an engine that no node has sent or observed. */
   void addUnreportedLoad(int index, int requests) {
-    Engine seen = directories.get(0).ofService("s").get(index);
+    Engine engine = directories.get(0).ofService("s").get(index);
     for (int i = 0; i < requests; i++) {
-      double left = workMillis * random.nextDouble();
-      engines.get(index).waiting.add(new Request(seen, nowMillis, left));
+      double remainingMillis = workMillis * random.nextDouble();
+      engines.get(index).waiting.add(new Request(engine, nowMillis, remainingMillis));
     }
   }
 
-  /** A request that enters at a random node. */
+  /** Sends a request from a random node. */
   Request send(Criteria criteria) {
     int node = random.nextInt(selectors.size());
     long now = nowMillis * 1_000_000;
@@ -143,7 +143,7 @@
     return work;
   }
 
-  /** Lets a step of time pass. */
+  /** Advances the virtual time by one step. */
   void step(boolean streams) {
     nowMillis += STEP_MILLIS;
     for (SimulatedEngine engine : engines) {
@@ -199,9 +199,9 @@
     while (!reports.isEmpty() && nowMillis - reports.peek().asOfMillis >= LAG_MILLIS) {
       Report report = reports.remove();
       for (EngineDirectory directory : directories) {
-        List<Engine> seen = directory.ofService("s");
-        for (int i = 0; i < seen.size(); i++) {
-          seen.get(i).load().reported(report.loads.get(i), report.asOfMillis * 1_000_000);
+        List<Engine> known = directory.ofService("s");
+        for (int i = 0; i < known.size(); i++) {
+          known.get(i).load().reported(report.loads.get(i), report.asOfMillis * 1_000_000);
         }
       }
     }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestBackendSelector.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestBackendSelector.java
@@ -60,9 +60,9 @@
   @Test
   void aKeyIsAlwaysSentToTheSameService() {
     Route route = route(new Backend("a", 50), new Backend("b", 50));
-    String part = selector.choose(route, "k");
+    String service = selector.choose(route, "k");
     for (int i = 0; i < 10; i++) {
-      assertEquals(part, selector.choose(route, "k"));
+      assertEquals(service, selector.choose(route, "k"));
     }
   }
 
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestEngineSelector.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestEngineSelector.java
@@ -81,12 +81,12 @@
   @Test
   void aGrownPartCountsAsCachedOnlyUpToItsCachedLength() {
     engines(1);
-    CachedPrefixes kept = engine("e0").cachedPrefixes();
-    kept.add(List.of(new PromptPart("shared", 12_000), new PromptPart("own", 1_000)));
-    kept.extend(List.of(new PromptPart("own", 1_000)), 200);
+    CachedPrefixes cached = engine("e0").cachedPrefixes();
+    cached.add(List.of(new PromptPart("shared", 12_000), new PromptPart("own", 1_000)));
+    cached.extend(List.of(new PromptPart("own", 1_000)), 200);
     List<PromptPart> grown =
         List.of(new PromptPart("shared", 12_000), new PromptPart("own", 3_000));
-    assertEquals(1_800, kept.uncachedTokens(grown));
+    assertEquals(1_800, cached.uncachedTokens(grown));
   }
 
   @Test
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSelectionAcrossEngineTypes.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSelectionAcrossEngineTypes.java
@@ -27,7 +27,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Decisions follow the engines that are observed; none rests on the engines of one deployment. */
+/**
+ * Guards against decisions that fit only one type of engine: they must follow the observed
+ * performance of engines of different speed, slots and token rate.
+ */
 class TestSelectionAcrossEngineTypes {
   private static final String SERVICE = "s";
   private static final int OBSERVATIONS = 400;
@@ -40,7 +43,10 @@
   private final EngineDirectory directory = new EngineDirectory(1);
   private final EngineSelector selector = new EngineSelector(directory, "z", random);
 
-  /** Tokens read in a millisecond, places, milliseconds to the first event, between two events. */
+  /**
+   * Prefill rate in tokens per millisecond, slots, time to the first event and inter-event time in
+   * milliseconds.
+   */
   static Stream<Arguments> engineTypes() {
     return Stream.of(10.0, 40.0, 270.0)
         .flatMap(
@@ -58,38 +64,40 @@
     return directory.ofService(SERVICE).get(directory.ofService(SERVICE).size() - 1);
   }
 
-  private void observe(Engine engine, double speed, double firstMillis, double gapMillis) {
+  private void observe(Engine engine, double speed, double firstMillis, double interEventMillis) {
     ServicePerformance performance = engine.performance();
     for (int i = 0; i < OBSERVATIONS; i++) {
-      int unread = random.nextInt(4_000);
-      performance.observeFirstEvent(unread, firstMillis + unread / speed);
-      engine.observeInterEventTime(gapMillis);
+      int uncached = random.nextInt(4_000);
+      performance.observeFirstEvent(uncached, firstMillis + uncached / speed);
+      engine.observeInterEventTime(interEventMillis);
     }
   }
 
   @ParameterizedTest
   @MethodSource("engineTypes")
-  void prefillRateAndFirstEventTimeAreLearnt(double speed, int slots, double first, double gap) {
+  void prefillRateAndFirstEventTimeAreLearnt(
+      double speed, int slots, double first, double interEventMillis) {
     Engine engine = engine("e0", slots, "z");
-    observe(engine, speed, first, gap);
+    observe(engine, speed, first, interEventMillis);
     ServicePerformance performance = engine.performance();
     assertEquals(4_000 / speed, performance.prefillMillis(4_000), 400 / speed);
     assertEquals(first, performance.firstEventMillis(), 1 + first * 0.3);
-    assertEquals(gap, performance.interEventMillis(), gap * 0.2);
+    assertEquals(interEventMillis, performance.interEventMillis(), interEventMillis * 0.2);
   }
 
   @ParameterizedTest
   @MethodSource("engineTypes")
-  void prefillTimeDoesNotCountAsWait(double speed, int slots, double first, double gap) {
+  void prefillTimeDoesNotCountAsWait(
+      double speed, int slots, double first, double interEventMillis) {
     Engine engine = engine("e0", slots, "z");
-    observe(engine, speed, first, gap);
+    observe(engine, speed, first, interEventMillis);
     ProgramAdmission admission = admission();
-    List<PromptPart> unread = List.of(new PromptPart("new", 4_000));
-    double waitMillis = first + 4_000 / speed - engine.expectedFirstEventMillis(unread);
+    List<PromptPart> uncached = List.of(new PromptPart("new", 4_000));
+    double waitMillis = first + 4_000 / speed - engine.expectedFirstEventMillis(uncached);
     for (int i = 0; i < 50; i++) {
       admission.observeWait(SERVICE, waitMillis, 0);
     }
-    assertTrue(admission.unrestricted(opening(1, TARGET_MILLIS), 0));
+    assertTrue(admission.unrestricted(request(1, TARGET_MILLIS), 0));
     assertTrue(admission.hasSpareCapacity(SERVICE, TARGET_MILLIS, 0), waitMillis + " ms");
   }
 
@@ -97,7 +105,7 @@
     return new ProgramAdmission(directory, random, AdmissionShares.EVEN, (event, fields) -> {});
   }
 
-  private static AdmissionRequest opening(int rank, long targetMillis) {
+  private static AdmissionRequest request(int rank, long targetMillis) {
     return new AdmissionRequest(
         "kind", rank, Caller.WITHOUT_KEYS, SERVICE, targetMillis, 0, LimitUse.UNKNOWN);
   }
@@ -105,18 +113,18 @@
   @ParameterizedTest
   @MethodSource("engineTypes")
   void aConversationLeavesItsCachedPrefixOnlyForAWaitThatExceedsThePrefill(
-      double speed, int slots, double first, double gap) {
-    Engine keeping = engine("e0", slots, "z");
+      double speed, int slots, double first, double interEventMillis) {
+    Engine cachingEngine = engine("e0", slots, "z");
     Engine other = engine("e1", slots, "z");
-    observe(keeping, speed, first, gap);
-    observe(other, speed, first, gap);
-    keeping.cachedPrefixes().add(PROMPT);
+    observe(cachingEngine, speed, first, interEventMillis);
+    observe(other, speed, first, interEventMillis);
+    cachingEngine.cachedPrefixes().add(PROMPT);
     Criteria criteria = new Criteria(SERVICE, PROMPT, null, true);
-    double readingMillis = CACHED_TOKENS / speed;
-    keeping.observeWait(readingMillis, 0);
+    double prefillMillis = CACHED_TOKENS / speed;
+    cachingEngine.observeWait(prefillMillis, 0);
     assertEquals("e0", selector.select(criteria, Set.of(), 0).record().id());
     for (int i = 0; i < 50; i++) {
-      keeping.observeWait(readingMillis * 20 + 400, 0);
+      cachingEngine.observeWait(prefillMillis * 20 + 400, 0);
     }
     assertEquals("e1", selector.select(criteria, Set.of(), 0).record().id());
   }
@@ -164,14 +172,14 @@
     for (int i = 0; i < 100; i++) {
       admission.observeWait(SERVICE, targetMillis * 0.2, 0);
     }
-    assertTrue(admission.unrestricted(opening(1, targetMillis), 0));
+    assertTrue(admission.unrestricted(request(1, targetMillis), 0));
     for (int i = 0; i < 100; i++) {
       admission.observeWait(SERVICE, targetMillis * 2.0, 0);
     }
     for (int rank = 0; rank < 2; rank++) {
       int refused = 0;
       for (int i = 0; i < 20; i++) {
-        refused += admission.decide(opening(rank, targetMillis), "r", "p", 0).admitted() ? 0 : 1;
+        refused += admission.decide(request(rank, targetMillis), "r", "p", 0).admitted() ? 0 : 1;
       }
       assertTrue(refused >= 18, "rank " + rank + " refused " + refused);
     }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSelectionAllocation.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSelectionAllocation.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A choice among six hundred engines allocates nothing for each of them. */
+/** Guards against allocations per engine in a selection among 600 engines. */
 class TestSelectionAllocation {
   private static final int ENGINES = 600;
   private static final int SELECTIONS = 2_000;
@@ -61,6 +61,6 @@
     choose(criteria);
     long nanos = (System.nanoTime() - nanosBefore) / SELECTIONS;
     long bytes = (thread.getCurrentThreadAllocatedBytes() - bytesBefore) / SELECTIONS;
-    assertTrue(bytes <= BYTES_PER_SELECTION, bytes + " bytes, " + nanos + " ns a choice");
+    assertTrue(bytes <= BYTES_PER_SELECTION, bytes + " bytes, " + nanos + " ns per selection");
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSelectionByLoadView.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSelectionByLoadView.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Choices by a view of load that all nodes share and that is late. */
+/** Engine selection with a load view that all nodes share and that is delayed. */
 class TestSelectionByLoadView {
   private static final int NODES = 77;
   private static final List<PromptPart> PROMPT = List.of(new PromptPart("own", 500));
@@ -33,9 +33,10 @@
   private static final Criteria TOOL = new Criteria("s", List.of(), null, false);
 
   /**
-   * Demand at nine tenths of the room; each engine but one begins with as much waiting as it runs.
+   * Demand is nine tenths of the capacity; each engine but one starts with as many waiting requests
+   * as running ones.
    */
-  @ParameterizedTest(name = "{0} engines of {1} places, work of {2} ms, stream {3}")
+  @ParameterizedTest(name = "{0} engines of {1} slots, work of {2} ms, stream {3}")
   @CsvSource({"31, 32, 1000, true", "31, 16, 400, true", "13, 6, 300, false", "13, 9, 20, false"})
   void nodesThatAllSeeOneEmptyEngineFillItWithoutOverloadingIt(
       int count, int slots, double workMillis, boolean stream) {
@@ -55,11 +56,14 @@
       most = Math.max(most, engines.engine(0).requests());
       filled = step == 80 + 200 ? engines.engine(0).requests() : filled;
     }
-    assertTrue(most <= 4 * slots, most + " requests at an engine of " + slots + " places");
-    assertTrue(filled >= slots / 3, filled + " requests at an engine of " + slots + " places");
+    assertTrue(most <= 4 * slots, most + " requests at an engine of " + slots + " slots");
+    assertTrue(filled >= slots / 3, filled + " requests at an engine of " + slots + " slots");
   }
 
-  /** Demand at half of the room; lines of turns with homes; one engine slow from 2 to 8 s. */
+  /**
+   * Demand is half of the capacity; conversations have home engines; one engine is slow from 2 s to
+   * 8 s.
+   */
   @Test
   void programsLeaveAnEngineThatIsSlowForSixSecondsAndReturn() {
     EngineSimulation engines = new EngineSimulation(NODES, 9, 16, 400, true);
@@ -80,7 +84,9 @@
     assertTrue(atFirstEngine(sent, 12_000, 16_000) >= FAIR_SHARE / 2);
   }
 
-  /** The part of the streams sent within a time that end in twice their usual time. */
+  /**
+   * Returns the part of the streams sent within a time that took at most twice their usual time.
+   */
   private static double inTime(List<Request> sent, long fromMillis, long toMillis) {
     return part(sent, fromMillis, toMillis, work -> work.tookMillis() <= 800);
   }
@@ -99,7 +105,8 @@
   }
 
   /**
-   * Idle engines, of which one needs half as long again for each event and keeps a short prompt.
+   * Idle engines, one of which takes half as long again for each event and has cached a short
+   * prompt.
    */
   @ParameterizedTest(name = "load known: {0}")
   @ValueSource(booleans = {false, true})
@@ -121,8 +128,8 @@
     assertEquals(known ? "faster" : "slower", chosen);
   }
 
-  /** Engines with the same reading and pace that differ in the memory that they have left. */
-  @ParameterizedTest(name = "{0} tokens, at most {1} more: {2}")
+  /** Engines with the same prefill rate and inter-event time that differ in their free memory. */
+  @ParameterizedTest(name = "prompt {0} tokens, output at most {1}: {2}")
   @CsvSource({
     "2000, 500, home",
     "6000, 500, roomy",
@@ -149,23 +156,26 @@
     assertEquals(expected, selector.select(criteria, Set.of(), 0).record().id());
   }
 
-  /** A tool engine in each of two zones; the one here has work, demand swings to and fro. */
-  @ParameterizedTest(name = "{0} ms there and back, {1} under way here: {2}")
+  /**
+   * One tool engine in each of two zones. The engine in the zone of the node already has requests
+   * in flight.
+   */
+  @ParameterizedTest(name = "round trip {0} ms, {1} in flight here: {2}")
   @CsvSource({"1, 1, here", "1, 5, there", "12, 12, here", "12, 40, there"})
   void aToolCallToAnotherZoneCostsTheMeasuredRoundTrip(
-      double wayMillis, int underWay, String expected) {
+      double roundTripMillis, int inFlight, String expected) {
     EngineDirectory directory = new EngineDirectory(1);
     directory.put(new EngineRecord("here", "s", "10.0.0.1", 80, "z", 16, false));
     directory.put(new EngineRecord("there", "s", "10.0.0.2", 80, "other", 16, false));
     for (int i = 0; i < 200; i++) {
       directory.performanceOf("s").observeNonStream(8);
     }
-    for (int i = 0; i < underWay; i++) {
+    for (int i = 0; i < inFlight; i++) {
       directory.find(new EngineId("here")).requestStarted(0);
     }
     Topology topology = Topology.ofOneRegion("z");
     RoundTrips roundTrips = new RoundTrips(topology);
-    roundTrips.observe("other", wayMillis, 0);
+    roundTrips.observe("other", roundTripMillis, 0);
     EngineSelector selector =
         new EngineSelector(directory, topology, roundTrips, List.of(), new SplittableRandom(1));
     assertEquals(expected, selector.select(TOOL, Set.of(), 0).record().id());
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSlowHomePolicy.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSlowHomePolicy.java
@@ -49,7 +49,7 @@
     return policy.allowsHome(engine, new Criteria("s", prompt, "p", true), millis * 1_000_000);
   }
 
-  @ParameterizedTest(name = "pace {0}, {1} tokens: {2}")
+  @ParameterizedTest(name = "slowdown {0}, {1} tokens: {2}")
   @CsvSource({
     "1.0, 500, true",
     "1.5, 500, true",
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestStableHash.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestStableHash.java
@@ -6,7 +6,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class TestStableHash {
-  /** Nodes of different releases agree on homes and registrars only if no hash ever changes. */
+  /**
+   * Nodes of different releases agree on home engines and on the registrars of programs only if the
+   * hash never changes.
+   */
   @ParameterizedTest(name = "{0}, {1}: {2}")
   @CsvSource({
     "'', '', 1187615750",
