--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/CachedPrefixes.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/CachedPrefixes.java
@@ -5,8 +5,9 @@
 import java.util.Map;
 
 /**
- * The prompt parts that an engine is believed to keep in memory, from the requests that this
- * process has sent to it. Bounded by tokens; the parts unused longest are forgotten first.
+ * The prompt parts that an engine is believed to have cached, derived from the requests that this
+ * node has sent to it. Bounded in the number of parts; the least recently used part is evicted
+ * first.
  */
 public final class CachedPrefixes {
   private static final int MAX_PARTS = 2_048;
@@ -21,14 +22,17 @@
         }
       };
 
-  /** Notes that the engine has read these parts. */
+  /** Records that the engine has prefilled these parts. */
   public void add(List<PromptPart> prompt) {
     for (PromptPart part : prompt) {
       cachedTokens.merge(part.id(), part.tokens(), Math::max);
     }
   }
 
-  /** Notes that the engine has generated tokens behind a prompt; they extend its last part. */
+  /**
+   * Records that the engine has generated tokens after a prompt, which extend the last part of the
+   * prompt.
+   */
   public void extend(List<PromptPart> prompt, int generatedTokens) {
     if (!prompt.isEmpty()) {
       PromptPart last = prompt.get(prompt.size() - 1);
@@ -36,20 +40,23 @@
     }
   }
 
-  /** Whether the engine is believed to keep anything of a part. */
+  /** Returns whether the engine is believed to have cached anything of a part. */
   public boolean contains(String partId) {
     return cachedTokens.containsKey(partId);
   }
 
-  /** Whether the engine is believed to keep anything of a prompt's own, last part. */
+  /**
+   * Returns whether the engine is believed to have cached anything of the last part of a prompt,
+   * which is not shared with other programs.
+   */
   public boolean containsOwnPart(List<PromptPart> prompt) {
     return !prompt.isEmpty() && contains(prompt.get(prompt.size() - 1).id());
   }
 
   /**
-   * Tokens of the prompt that the engine would have to read. A part grows from turn to turn under
-   * the same identifier, so what is kept of it may be less than its length; behind a gap nothing
-   * counts as kept.
+   * Returns the number of tokens of the prompt that the engine would have to prefill. A part grows
+   * from turn to turn under the same identifier, so the cached length may be less than its present
+   * length. After the first token that is not cached, nothing else counts as cached.
    */
   public int uncachedTokens(List<PromptPart> prompt) {
     int uncached = 0;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/Engine.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/Engine.java
@@ -2,23 +2,27 @@
 
 import java.util.List;
 
-/** An engine and this process's own view of it. Used only from the event loop. */
+/** An engine together with this node's own observations of it. Used only from the event loop. */
 public final class Engine {
   private static final double WAIT_SMOOTHING = 0.2;
   private static final double INTER_EVENT_SMOOTHING = 0.08;
 
-  /** A gap counts at most as this multiple of the usual one: a stalled stream is not a pace. */
+  /**
+   * An observed inter-event time counts at most as this multiple of the usual one, since a stalled
+   * stream says nothing about the token rate of the engine.
+   */
   private static final double MAX_INTER_EVENT_FACTOR = 30;
 
-  /** After this time without an observation a wait no longer says anything. */
+  /** An observed wait is ignored after this time without another observation. */
   private static final long WAIT_STALE_NANOS = 1_500_000_000L;
 
-  /** After this time without a stream an engine's pace no longer says anything. */
+  /** An observed inter-event time is ignored after this time without a stream. */
   private static final long INTER_EVENT_STALE_NANOS = 4_000_000_000L;
 
   /**
-   * Times between events after which an engine's own pace counts as much as that of its service.
-   * Those of one stream tell what else the engine happened to do, so a few streams are needed.
+   * The number of observed inter-event times at which they weigh as much as the usual one of the
+   * service. The times of a single stream depend on what else the engine happened to run, so a few
+   * streams are needed.
    */
   private static final double SERVICE_PRIOR_EVENTS = 30;
 
@@ -47,7 +51,7 @@
     this.suspicionListener = suspicionListener;
   }
 
-  /** What it stated last. */
+  /** Returns the latest record of the engine. */
   public EngineRecord record() {
     return record;
   }
@@ -57,7 +61,7 @@
     this.removed = false;
   }
 
-  /** Adopts what its record says about its warmth, as of now. */
+  /** Adopts the remaining cold time of the record, counted from now. */
   void updateColdPeriod(long nowNanos) {
     if (record.coldMillis() > 0) {
       everCold = true;
@@ -67,12 +71,14 @@
     }
   }
 
-  /** Whether it bears few requests at the moment, as far as it has said. */
+  /** Returns whether the engine can take only few requests now, according to its record. */
   public boolean cold(long nowNanos) {
     return everCold && nowNanos - coldUntilNanos < 0;
   }
 
-  /** Nanoseconds since it was cold last; {@link Long#MAX_VALUE} if it never was. */
+  /**
+   * Returns the nanoseconds since the engine was last cold; {@link Long#MAX_VALUE} if it never was.
+   */
   public long warmForNanos(long nowNanos) {
     return everCold ? Math.max(0, nowNanos - coldUntilNanos) : Long.MAX_VALUE;
   }
@@ -81,52 +87,55 @@
     removed = true;
   }
 
-  /** Whether its entry is gone. */
+  /** Returns whether this object was replaced or its entry is gone, so that it gets no new work. */
   public boolean removed() {
     return removed;
   }
 
-  /** The prompt parts that it is believed to hold. */
+  /** Returns the prompt parts that the engine is believed to have cached. */
   public CachedPrefixes cachedPrefixes() {
     return cachedPrefixes;
   }
 
-  /** What its load is taken to be. */
+  /** Returns the estimate of its load. */
   public LoadEstimate load() {
     return load;
   }
 
-  /** When it is expected to have a place. */
+  /** Returns the estimate of when it has capacity. */
   public EngineCapacity capacity() {
     return capacity;
   }
 
-  /** How fast the engines of its service work. */
+  /** Returns the performance of the engines of its service. */
   public ServicePerformance performance() {
     return performance;
   }
 
-  /** The time in which it is expected to begin an answer when idle, in milliseconds. */
+  /**
+   * Returns the expected time to the first event of a response when the engine is idle, in
+   * milliseconds.
+   */
   public double expectedFirstEventMillis(List<PromptPart> prompt) {
     return performance.firstEventMillis()
         + performance.prefillMillis(cachedPrefixes.uncachedTokens(prompt));
   }
 
-  /** Requests that this process has sent to it and that are not over. */
+  /** Returns the number of requests from this node to the engine that are in flight. */
   public int inFlight() {
     return inFlight;
   }
 
-  /** A request was sent to it. */
+  /** Records that a request was sent to the engine. */
   public void requestStarted(long nowNanos) {
     inFlight++;
     load.sent(nowNanos);
   }
 
   /**
-   * A request that was sent to it is over.
+   * Records that a request to the engine has ended.
    *
-   * @param startedNanos when it was sent, as told at its start
+   * @param startedNanos the moment that was passed when it started
    */
   public void requestEnded(long startedNanos) {
     inFlight--;
@@ -134,9 +143,10 @@
   }
 
   /**
-   * Notes how long a request waited before its first event, beyond what its prompt explains.
+   * Records how long a request waited before its first event, beyond the time that its prompt
+   * explains.
    *
-   * @param millis the wait; negative values count as none
+   * @param millis the wait in milliseconds; negative values count as none
    */
   public void observeWait(double millis, long nowNanos) {
     if (nowNanos - waitObservedNanos >= INTER_EVENT_STALE_NANOS) {
@@ -147,13 +157,15 @@
     waitObservedNanos = nowNanos;
   }
 
-  /** The smoothed wait; fades out after a while without observations. */
+  /**
+   * Returns the smoothed wait in milliseconds, which decays to 0 while there are no observations.
+   */
   public double waitMillis(long nowNanos) {
     long age = nowNanos - waitObservedNanos;
     return age >= WAIT_STALE_NANOS ? 0 : waitMillis * (1.0 - (double) age / WAIT_STALE_NANOS);
   }
 
-  /** Notes the time between two events of a stream, in milliseconds. */
+  /** Records the time between two events of a stream, in milliseconds. */
   public void observeInterEventTime(double millis) {
     double counted = Math.min(millis, performance.interEventMillis() * MAX_INTER_EVENT_FACTOR);
     interEventMillis = interEventMillis() + INTER_EVENT_SMOOTHING * (counted - interEventMillis());
@@ -161,15 +173,18 @@
     performance.observeInterEventTime(counted);
   }
 
-  /** The smoothed time between two events of a stream; that of its service if none was seen. */
+  /**
+   * Returns the smoothed time between two events of a stream, in milliseconds; that of the service
+   * if none was observed.
+   */
   public double interEventMillis() {
     return interEventTimesObserved > 0 ? interEventMillis : performance.interEventMillis();
   }
 
   /**
-   * The time between two events as it was seen here. A pace of which nothing was heard for a while
-   * may be over: the engine then counts as usual until one stream is under way there again, which
-   * shows its pace anew.
+   * Returns the observed inter-event time, in milliseconds. An observation that has not been
+   * renewed for a while may be out of date: the engine then counts as a usual one of its service,
+   * until one stream is in flight there again and yields a new observation.
    */
   public double observedInterEventMillis(long nowNanos) {
     boolean forgotten = inFlight == 0 && nowNanos - waitObservedNanos >= INTER_EVENT_STALE_NANOS;
@@ -177,8 +192,8 @@
   }
 
   /**
-   * The time between two events that is to be expected of its next stream: the fewer events were
-   * seen here, the more the usual pace of its service counts.
+   * Returns the expected inter-event time of the engine's next stream, in milliseconds. The fewer
+   * events were observed, the more the usual inter-event time of its service counts.
    */
   public double interEventMillis(long nowNanos) {
     double own = interEventTimesObserved / (interEventTimesObserved + SERVICE_PRIOR_EVENTS);
@@ -187,8 +202,9 @@
   }
 
   /**
-   * Notes that a request failed there, or that it could not be reached. Of an engine that is
-   * removed nobody else is told: its identifier may be that of another life by now.
+   * Records that a request failed at the engine, or that the engine could not be reached. Peers are
+   * not notified about an engine that is removed, since its identifier may belong to another
+   * incarnation by now.
    */
   public void failed(long nowNanos) {
     boolean suspectBefore = failures.suspectAt(nowNanos);
@@ -198,25 +214,25 @@
     }
   }
 
-  /** Notes that another node suspects it; returns whether that is new here. */
+  /** Records that a peer suspects the engine; returns whether it was not suspect here before. */
   public boolean suspectedByPeer(long nowNanos) {
     boolean suspectBefore = failures.suspectAt(nowNanos);
     failures.suspectedByPeer(nowNanos);
     return !suspectBefore;
   }
 
-  /** Notes that it answered with a fault of its own: it is avoided briefly. */
+  /** Records that the engine responded with an error of its own; it is avoided briefly. */
   public void serverErrorReceived(long nowNanos) {
     failures.serverErrorReceived(nowNanos);
   }
 
-  /** Notes a whole answer. */
+  /** Records a complete response. */
   public void succeeded() {
     failures.succeeded();
   }
 
-  /** How far it is trusted with new work. */
+  /** Returns how far the engine is trusted with new work. */
   public EngineHealth health(long nowNanos) {
-    return failures.standing(nowNanos);
+    return failures.health(nowNanos);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineCapacity.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineCapacity.java
@@ -1,24 +1,29 @@
 package org.baykeel.gateway.directory;
 
 /**
- * When an engine that said it was full is expected to have a place. Used only from the event loop.
+ * The estimate of when an engine that reported itself full has capacity again. Used only from the
+ * event loop.
  *
- * <p>One request of this process finds out: while it is on its way the next place is expected a
- * place's time later. Each further word of the engine that it is full doubles that time, up to a
- * few answers' time, and less the more requests wait at this process, so that processes get places
- * by what waits at each. An answer of the engine halves it, and so tells of a place at once. A
- * report of the engine's load that is newer than its word shows a place earlier.
+ * <p>A single request of this node probes the engine: once it is sent, the next free slot is
+ * expected one slot interval later. Each further report that the engine is full doubles the
+ * interval, up to the time of a few responses. That limit is lower the more requests wait at this
+ * node, so that nodes get capacity in proportion to the requests that wait at each. A response of
+ * the engine halves the interval and means that there is capacity at once. A load report that is
+ * newer than the report that the engine is full can indicate capacity earlier.
  */
 public final class EngineCapacity {
   private static final double MIN_INTERVAL_MILLIS = 10;
 
-  /** The longest time until a place is expected, in answers, while few requests wait here. */
+  /**
+   * The longest time until a free slot is expected, in units of the response time, while few
+   * requests wait at this node.
+   */
   private static final double MAX_INTERVAL_RESPONSES = 4;
 
-  /** As many waiting requests halve that time. */
+  /** The number of waiting requests that halves this longest time. */
   private static final double HALVING_REQUESTS = 16;
 
-  /** After this time without a further word an engine that was full counts as any other. */
+  /** After this time without another report that it is full, the engine counts as any other. */
   private static final long REPORT_VALID_NANOS = 1_000_000_000L;
 
   private final LoadEstimate load;
@@ -33,11 +38,11 @@
   }
 
   /**
-   * The engine said that it is full.
+   * Records that the engine reported itself full.
    *
-   * @param responseMillis the usual time of an answer
-   * @param slots requests that it works on at once
-   * @param waiting requests that wait for a place at this process
+   * @param responseMillis the usual time of a response, in milliseconds
+   * @param slots requests that the engine works on at once
+   * @param waiting requests that wait for capacity at this node
    */
   public void reportedFull(double responseMillis, int slots, int waiting, long nowNanos) {
     int slotCount = Math.max(1, slots);
@@ -53,25 +58,28 @@
     requestsWhenFull = Math.max(slotCount, load.requests(nowNanos));
   }
 
-  /** This process sends a request to the engine. */
+  /** Records that this node sends a request to the engine. */
   public void sent(long nowNanos) {
     if (reportedFullRecently(nowNanos)) {
       nextCapacityNanos = nowNanos + slotIntervalNanos;
     }
   }
 
-  /** The engine gave an answer to a request of this process: a place has come free. */
+  /** Records that the engine responded to a request of this node, so that a slot is free. */
   public void responseReceived(long nowNanos) {
     slotIntervalNanos = Math.max(Math.round(MIN_INTERVAL_MILLIS * 1e6), slotIntervalNanos / 2);
     nextCapacityNanos = nowNanos;
   }
 
-  /** Whether the engine is expected to turn a request away. */
+  /** Returns whether the engine is expected to refuse a request. */
   public boolean full(long nowNanos) {
     return nextCapacityNanos(nowNanos) - nowNanos > 0;
   }
 
-  /** When it is expected to have a place; the present moment if it may have one. */
+  /**
+   * Returns when the engine is expected to have capacity; the present moment if it may have
+   * capacity.
+   */
   public long nextCapacityNanos(long nowNanos) {
     if (!reportedFullRecently(nowNanos)
         || nextCapacityNanos - nowNanos <= 0
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineDirectory.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineDirectory.java
@@ -12,13 +12,13 @@
 /**
  * The engines by service. An engine whose entry vanishes around an outage of the store stays usable
  * for a grace period, since the store removes entries of live engines during its own outages and
- * has them back soon after; one that vanishes in calm times, or that drains, gets no new work at
- * once.
+ * restores them soon after. An engine whose entry vanishes at any other time, or that drains, gets
+ * no new work at once.
  *
- * <p>An engine may start again under its identifier. Its lives are told apart by their starts: a
- * later one is a new {@link Engine} about which nothing is believed, an earlier one is an old
- * message. Requests that are under way keep the object of the life that they were sent to, which
- * counts as removed.
+ * <p>An engine may restart under its identifier. Its incarnations are distinguished by their start
+ * times: a later one is a new {@link Engine} without observations, and a message of an earlier one
+ * is out of date. Requests that are in flight keep the object of the incarnation that they were
+ * sent to, which counts as removed.
  */
 public final class EngineDirectory {
   private final long maxLapseNanos;
@@ -32,29 +32,29 @@
   /**
    * Creates a directory.
    *
-   * @param longestLapseNanos how long an engine whose entry vanished around an outage may be used
-   *     at most; under the time after which a leaving engine must get no work
+   * @param maxLapseNanos the longest time for which an engine whose entry vanished around an outage
+   *     may be used; must be less than the time after which a leaving engine must get no work
    */
-  public EngineDirectory(long longestLapseNanos) {
-    this.maxLapseNanos = longestLapseNanos;
+  public EngineDirectory(long maxLapseNanos) {
+    this.maxLapseNanos = maxLapseNanos;
   }
 
   /**
-   * Sets who hears when an engine becomes suspect here.
+   * Sets the listener for engines that become suspect at this node.
    *
-   * @param listener hears of all engines, also of those known before
+   * @param listener is notified about all engines, including those that are already known
    */
   public void onSuspicion(EngineSuspicionListener listener) {
     suspicionListener = listener;
   }
 
-  /** Sets who hears when an engine has started again under its identifier. */
+  /** Sets the listener for engines that have restarted under their identifier. */
   public void onRestart(EngineRestartListener listener) {
     restartListener = listener;
   }
 
   /**
-   * The engine with an identifier.
+   * Returns the engine with an identifier.
    *
    * @return the engine, or null if it is not known
    */
@@ -63,21 +63,21 @@
   }
 
   /**
-   * Adopts the whole list of engines.
+   * Adopts the complete list of engines.
    *
-   * @param lapsesEndNanos when entries that lapsed in an outage are back; in the past if there was
-   *     no outage lately
+   * @param lapsesEndNanos when entries that lapsed in an outage of the store are back; in the past
+   *     if none can have lapsed
    */
   public void replaceAll(List<EngineRecord> records, long lapsesEndNanos, long nowNanos) {
     replaceAll(records, List.of(), lapsesEndNanos, nowNanos);
   }
 
   /**
-   * Adopts the whole list of engines, some of whose entries can't be used.
+   * Adopts the complete list of engines, some of whose entries are unusable.
    *
-   * @param unusable engines that have an entry which names none to use
-   * @param lapsesEndNanos when entries that lapsed in an outage are back; in the past if there was
-   *     no outage lately
+   * @param unusable engines that have an entry in the store that is not a valid record
+   * @param lapsesEndNanos when entries that lapsed in an outage of the store are back; in the past
+   *     if none can have lapsed
    */
   public void replaceAll(
       List<EngineRecord> records, List<EngineId> unusable, long lapsesEndNanos, long nowNanos) {
@@ -103,10 +103,10 @@
   }
 
   /**
-   * Adds an engine or adopts its new record; one of an earlier life than the known one changes
-   * nothing.
+   * Adds an engine or adopts its new record. A record of an earlier incarnation than the known one
+   * changes nothing.
    *
-   * @param nowNanos the moment from which on its cold time is counted
+   * @param nowNanos the moment from which the remaining cold time is counted
    */
   public void put(EngineRecord record, long nowNanos) {
     Engine known = byId.get(record.id());
@@ -125,7 +125,7 @@
       known.update(record.withStartIfUnknown(previous.startMillis()));
       known.updateColdPeriod(nowNanos);
     } else {
-      // What is known of its work is of another service's.
+      // The observations of the engine belong to its former service.
       drop(known);
       add(record.withStartIfUnknown(previous.startMillis()), nowNanos);
     }
@@ -136,12 +136,13 @@
   }
 
   /**
-   * Something other than its entry tells when an engine started. If that is later than known, all
-   * beliefs are dropped at once, and the engine counts as cold until its entry comes or is overdue.
+   * Adopts the start time of an engine from a message other than its entry. If it is later than the
+   * known one, all observations are dropped at once, and the engine counts as cold until its entry
+   * arrives or is overdue.
    *
-   * @param startMillis its start in Unix milliseconds; 0 if it was not told
-   * @return false if the engine is not known, or if what was told is of an earlier life of it and
-   *     must not be believed of the present one
+   * @param startMillis its start in Unix milliseconds; 0 if it was not given
+   * @return false if the engine is not known, or if the message belongs to an earlier incarnation
+   *     and must not be applied to the present one
    */
   public boolean adoptStartTime(EngineId id, long startMillis, long nowNanos) {
     Engine known = byId.get(id.value());
@@ -184,8 +185,8 @@
   }
 
   /**
-   * An engine's entry names none to use: it gets no new work, as if it drained, until its entry is
-   * good again. Requests under way go on.
+   * Handles an unusable entry: the engine gets no new work, as if it drained, until its entry is
+   * usable again. Requests in flight continue.
    */
   public void withdraw(EngineId id) {
     Engine known = byId.get(id.value());
@@ -196,10 +197,10 @@
   }
 
   /**
-   * An engine's entry is gone.
+   * Handles an engine whose entry is gone.
    *
-   * @param lapsesEndNanos when entries that lapsed in an outage are back; in the past if there was
-   *     no outage lately
+   * @param lapsesEndNanos when entries that lapsed in an outage of the store are back; in the past
+   *     if none can have lapsed
    */
   public void remove(String id, long lapsesEndNanos, long nowNanos) {
     Engine engine = byId.get(id);
@@ -233,22 +234,22 @@
     byService.get(engine.record().service()).remove(engine);
   }
 
-  /** How fast the engines of a service work; outlives each of them. */
+  /** Returns the performance of the engines of a service. It outlives the engines. */
   public ServicePerformance performanceOf(String service) {
     return performanceByService.computeIfAbsent(service, unknown -> new ServicePerformance());
   }
 
-  /** The engines of a service, draining ones among them. */
+  /** Returns the engines of a service, including draining ones. */
   public List<Engine> ofService(String service) {
     return byService.getOrDefault(service, List.of());
   }
 
-  /** The engines of all services, draining ones among them. */
+  /** Returns the engines of all services, including draining ones. */
   public Collection<Engine> all() {
     return Collections.unmodifiableCollection(byId.values());
   }
 
-  /** How many engines are known. */
+  /** Returns the number of known engines. */
   public int size() {
     return byId.size();
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineEntryFault.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineEntryFault.java
@@ -1,23 +1,23 @@
 package org.baykeel.gateway.directory;
 
 /**
- * Why an entry in the store names no engine to use.
+ * Why an entry in the store is not a valid engine record.
  *
- * @param engine the engine whose entry it is
- * @param field the field that is at fault; empty if it is the whole entry
- * @param reason what is wrong with it
+ * @param engine the engine of the entry
+ * @param field the faulty field; empty if the whole entry is faulty
+ * @param reason the kind of fault
  */
 public record EngineEntryFault(EngineId engine, String field, Reason reason) {
 
-  /** What is wrong with an entry. */
+  /** The kind of fault of an entry. */
   public enum Reason {
-    /** Its bytes are no document. */
+    /** The bytes are not a valid document. */
     UNREADABLE,
-    /** A field that is needed is missing. */
+    /** A required field is missing. */
     MISSING,
-    /** A field has another type than expected. */
+    /** A field has an unexpected type. */
     OTHER_TYPE,
-    /** A field has a value that is not known or not possible. */
+    /** A field has an unknown or impossible value. */
     OTHER_VALUE
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineEntryFaults.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineEntryFaults.java
@@ -4,19 +4,18 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/**
- * The entries that name no engine to use. Tells which faults are new, so that each is told once.
- */
+/** The unusable entries of engines. Detects which faults are new, so that each is logged once. */
 public final class EngineEntryFaults {
-  /** More entries than are at fault at a time; faults beyond it are not told. */
+  /** More entries than are faulty at the same time; faults of further entries are not logged. */
   private static final int MAX_FAULTS = 1_024;
 
   private final Map<EngineId, EngineEntryFault> faultByEngine = new HashMap<>();
 
   /**
-   * Notes a fault.
+   * Adds a fault.
    *
-   * @return whether it is to be told: it was not known like this, and there is room to note it
+   * @return whether it is to be logged: it differs from the known fault of the entry, and the limit
+   *     is not reached
    */
   public boolean note(EngineEntryFault fault) {
     if (!faultByEngine.containsKey(fault.engine()) && faultByEngine.size() >= MAX_FAULTS) {
@@ -25,17 +24,17 @@
     return !fault.equals(faultByEngine.put(fault.engine(), fault));
   }
 
-  /** An engine's entry is good, or gone. */
+  /** Removes the fault of an engine whose entry is usable again or gone. */
   public void clear(EngineId engine) {
     faultByEngine.remove(engine);
   }
 
-  /** Forgets all entries but some. */
+  /** Removes the faults of all engines except the given ones. */
   public void retain(Collection<EngineId> engines) {
     faultByEngine.keySet().retainAll(engines);
   }
 
-  /** How many entries name no engine to use. */
+  /** Returns the number of unusable entries. */
   public int size() {
     return faultByEngine.size();
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineFailures.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineFailures.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The recent failures of one engine. One that fails now and then is on probation; one that fails
- * twice in a row is suspect, for longer each time it happens again.
+ * The recent failures of one engine. An engine is on probation after a single failure; one that
+ * fails twice in a row is suspect, for longer each time this happens again.
  */
 final class EngineFailures {
   private static final long FIRST_PENALTY_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
@@ -15,7 +15,7 @@
   private static final long FIRST_SUSPICION_NANOS = TimeUnit.SECONDS.toNanos(2);
   private static final int MAX_SUSPICION_DOUBLINGS = 2;
 
-  /** How long the first suspicion of another node counts here. */
+  /** How long the first suspicion of a peer counts at this node. */
   private static final long FIRST_PEER_SUSPICION_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
   /** After this time without a suspicion the next one counts as the first. */
@@ -31,7 +31,10 @@
   private long suspectUntilNanos;
   private int suspicions;
 
-  /** Notes a failure: the engine is avoided for a time that doubles until it serves again. */
+  /**
+   * Records a failure. The engine is avoided for a time that doubles with each failure until the
+   * engine completes a request.
+   */
   void failed(long nowNanos) {
     avoidUntilNanos = nowNanos + penaltyNanos;
     penaltyNanos = Math.min(MAX_PENALTY_NANOS, penaltyNanos * 2);
@@ -44,16 +47,16 @@
     }
   }
 
-  /** Notes that another node suspects the engine. */
+  /** Records that a peer suspects the engine. */
   void suspectedByPeer(long nowNanos) {
     suspect(nowNanos, FIRST_PEER_SUSPICION_NANOS, !suspectAt(nowNanos));
   }
 
   /**
-   * Makes the engine suspect, or extends that.
+   * Makes the engine suspect, or extends the suspicion.
    *
    * @param firstNanos how long it is suspect the first time
-   * @param again whether this is a new occasion, which doubles the time, or the same one going on
+   * @param again whether this is a new occasion, which doubles the time, or the same one continuing
    */
   private void suspect(long nowNanos, long firstNanos, boolean again) {
     if (!everSuspect || nowNanos - suspectUntilNanos > FORGET_NANOS) {
@@ -67,13 +70,15 @@
     suspectUntilNanos = Math.max(suspectUntilNanos, nowNanos + (firstNanos << doublings));
   }
 
-  /** Notes that the engine answered with a fault of its own: it is avoided briefly. */
+  /** Records that the engine responded with an error of its own; it is avoided briefly. */
   void serverErrorReceived(long nowNanos) {
     avoidUntilNanos = Math.max(avoidUntilNanos, nowNanos + SERVER_ERROR_PENALTY_NANOS);
     penalized = true;
   }
 
-  /** Notes a whole answer: the engine is no longer avoided; what it did before still counts. */
+  /**
+   * Records a complete response: the engine is no longer avoided, but earlier failures still count.
+   */
   void succeeded() {
     penaltyNanos = FIRST_PENALTY_NANOS;
     penalized = false;
@@ -84,7 +89,7 @@
     return everSuspect && nowNanos - suspectUntilNanos < 0;
   }
 
-  EngineHealth standing(long nowNanos) {
+  EngineHealth health(long nowNanos) {
     if (penalized && nowNanos - avoidUntilNanos < 0) {
       return EngineHealth.AVOIDED;
     }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineHealth.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineHealth.java
@@ -1,8 +1,11 @@
 package org.baykeel.gateway.directory;
 
-/** How far an engine is trusted with new work, from what its latest requests came to. */
+/**
+ * How far an engine is trusted with new work, according to the outcomes of the requests that were
+ * sent to it.
+ */
 public enum EngineHealth {
-  /** Nothing speaks against it. */
+  /** It has no penalty. */
   HEALTHY {
     @Override
     public double penaltyMillis(boolean repeatable, double responseMillis) {
@@ -11,8 +14,8 @@
   },
 
   /**
-   * A request failed there lately, others did not. One that may run only once prefers another
-   * engine unless that costs it much time.
+   * A request failed there within the last 2 s, others did not. A request that may run only once
+   * uses another engine unless that costs it much time.
    */
   PROBATION {
     @Override
@@ -22,9 +25,9 @@
   },
 
   /**
-   * It is probably down, or goes down and up by turns. Requests that may be repeated try it; one
-   * that may run only once would be lost there, so it goes elsewhere while another engine takes
-   * work.
+   * It is probably down, or alternates between down and up. Requests that may be repeated try it;
+   * one that may run only once would be lost there, so it uses another engine as long as one
+   * accepts work.
    */
   SUSPECT {
     @Override
@@ -33,7 +36,7 @@
     }
   },
 
-  /** It has just failed: used only if no other engine is left. */
+  /** It has just failed. It is used only if there is no other engine. */
   AVOIDED {
     @Override
     public double penaltyMillis(boolean repeatable, double responseMillis) {
@@ -41,19 +44,19 @@
     }
   };
 
-  /** What the doubt about an engine on probation is worth, in usual answers of its service. */
+  /** Penalty for an engine on probation, in units of the usual response time of its service. */
   private static final double PROBATION_PENALTY_RESPONSES = 2;
 
-  /** More than any wait that is worth its while. */
+  /** More than any wait that is worthwhile. */
   private static final double SUSPECT_PENALTY_MILLIS = 20_000;
 
   private static final double LAST_RESORT_PENALTY_MILLIS = 100_000;
 
   /**
-   * What is added to the predicted time of a request, in milliseconds.
+   * Returns the time that is added to the predicted time of a request, in milliseconds.
    *
    * @param repeatable whether the request may be sent to another engine after an unknown outcome
-   * @param responseMillis the usual time of an answer of the service
+   * @param responseMillis the usual time of a response of the service, in milliseconds
    */
   public abstract double penaltyMillis(boolean repeatable, double responseMillis);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineRecord.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineRecord.java
@@ -1,17 +1,18 @@
 package org.baykeel.gateway.directory;
 
 /**
- * What an engine states about itself.
+ * The properties of an engine as given in its entry.
  *
- * @param id names the engine; one that starts again may keep it
+ * @param id the identifier of the engine, which it may keep when it restarts
  * @param service the service it belongs to
  * @param host its IP address
  * @param port its TCP port
- * @param zone where it runs
+ * @param zone the zone where it runs
  * @param slots requests it works on at once
- * @param draining whether it asks for no new work
- * @param coldMillis how much longer it bears few requests after a start, in milliseconds
- * @param startMillis when it started, in Unix milliseconds; 0 if it did not say
+ * @param draining whether it must get no new work
+ * @param coldMillis for how much longer after its start it can take only few requests, in
+ *     milliseconds
+ * @param startMillis when it started, in Unix milliseconds; 0 if not given
  */
 public record EngineRecord(
     String id,
@@ -24,10 +25,13 @@
     long coldMillis,
     long startMillis) {
 
-  /** Longer than the entry of an engine takes to come after its start. */
+  /**
+   * Cold time of an engine whose restart was found before its entry arrived. Longer than the entry
+   * of an engine takes to arrive after its start.
+   */
   private static final long ASSUMED_COLD_MILLIS = 3_000;
 
-  /** An engine that does not say when it started. */
+  /** Creates the record of an engine whose start time is not given. */
   public EngineRecord(
       String id,
       String service,
@@ -40,24 +44,27 @@
     this(id, service, host, port, zone, slots, draining, coldMillis, 0);
   }
 
-  /** An engine that bears what it can. */
+  /** Creates the record of an engine that is warm and whose start time is not given. */
   public EngineRecord(
       String id, String service, String host, int port, String zone, int slots, boolean draining) {
     this(id, service, host, port, zone, slots, draining, 0);
   }
 
-  /** The same engine, which is to get no new work. */
+  /** Returns the same record for an engine that must get no new work. */
   EngineRecord withoutNewWork() {
     return new EngineRecord(id, service, host, port, zone, slots, true, coldMillis, startMillis);
   }
 
-  /** The same engine with another start; it counts as cold until it says how warm it is. */
+  /**
+   * Returns the same record with another start time. The engine counts as cold until its own entry
+   * gives its cold time.
+   */
   EngineRecord restartedAt(long startMillis) {
     return new EngineRecord(
         id, service, host, port, zone, slots, draining, ASSUMED_COLD_MILLIS, startMillis);
   }
 
-  /** The same statement with the start that is known, if it names none itself. */
+  /** Returns the same record with the known start time if it does not give one itself. */
   EngineRecord withStartIfUnknown(long knownMillis) {
     return startMillis != 0 || knownMillis == 0
         ? this
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineRestartListener.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineRestartListener.java
@@ -1,26 +1,26 @@
 package org.baykeel.gateway.directory;
 
-/** Hears when an engine is found to have started again under its identifier. */
+/** Is notified when an engine is found to have restarted under its identifier. */
 @FunctionalInterface
 public interface EngineRestartListener {
   /** A listener that does nothing. */
   EngineRestartListener NONE = (id, previousStartMillis, newStartMillis, source) -> {};
 
-  /** What told of the later start first. */
+  /** The kind of message that was the first to give the later start time. */
   enum Source {
     /** The engine's entry in the store. */
     ENTRY,
-    /** A report that the engine gave of its load. */
+    /** A report of the engine's load. */
     REPORT
   }
 
   /**
-   * Everything that was believed of the engine's former life is dropped.
+   * Called after all observations of the former incarnation of an engine have been dropped.
    *
    * @param id the engine
-   * @param previousStartMillis start of the former life, in Unix milliseconds
-   * @param newStartMillis start of the present one, in Unix milliseconds
-   * @param source what told of it
+   * @param previousStartMillis start of the former incarnation, in Unix milliseconds
+   * @param newStartMillis start of the present incarnation, in Unix milliseconds
+   * @param source the message that gave the later start time
    */
   void engineRestarted(EngineId id, long previousStartMillis, long newStartMillis, Source source);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineSuspicionListener.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/EngineSuspicionListener.java
@@ -1,13 +1,13 @@
 package org.baykeel.gateway.directory;
 
-/** Hears when this process begins to suspect an engine because of its own requests. */
+/** Is notified when this node begins to suspect an engine because of its own requests. */
 @FunctionalInterface
 public interface EngineSuspicionListener {
   /** A listener that does nothing. */
   EngineSuspicionListener NONE = engine -> {};
 
   /**
-   * Requests failed in a row at an engine that was not suspect until then.
+   * Called when requests failed in a row at an engine that was not suspect until then.
    *
    * @param engine the engine
    */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/LoadEstimate.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/LoadEstimate.java
@@ -3,14 +3,15 @@
 import java.util.Arrays;
 
 /**
- * What this process takes the load of one engine to be: the engine's last report, and on top the
- * requests that this process has sent to it since that moment and that are not over. A report that
- * is too old says nothing.
+ * The estimate of the load of one engine: the engine's last report plus the requests that this node
+ * has sent to it since the moment of that report and that are still in flight. A report that is too
+ * old is ignored.
  */
 public final class LoadEstimate {
   /**
-   * Age from which a report says nothing. Longer than the slow interval of reports, the lag of a
-   * report behind the engine and the time in which a reporter is replaced, together.
+   * Age from which a report is ignored. Longer than the interval of reports of an engine that is
+   * not loaded, the lag of a report behind the engine and the time in which a reporter is replaced,
+   * together.
    */
   public static final long STALE_NANOS = 2_500_000_000L;
 
@@ -19,7 +20,7 @@
   private EngineLoad reported;
   private long asOfNanos;
 
-  /** When the requests under way were sent; the first {@link #underWay} count. */
+  /** When the requests in flight were sent; the first {@link #inFlight} elements are used. */
   private long[] sentNanos = new long[INITIAL_CAPACITY];
 
   private int inFlight;
@@ -27,7 +28,7 @@
   /**
    * Adopts a report unless a later one is known.
    *
-   * @param asOf when the engine's load was like this, by this process's clock
+   * @param asOf the moment that the report describes, by this node's clock
    * @return whether it was adopted
    */
   public boolean reported(EngineLoad load, long asOf) {
@@ -39,12 +40,12 @@
     return true;
   }
 
-  /** Drops the report: the engine that gave it is not the one that runs now. */
+  /** Drops the report, which belongs to an engine that no longer runs. */
   public void forget() {
     reported = null;
   }
 
-  /** This process sent a request to the engine. */
+  /** Records that this node sent a request to the engine. */
   public void sent(long nowNanos) {
     if (inFlight == sentNanos.length) {
       sentNanos = Arrays.copyOf(sentNanos, 2 * inFlight);
@@ -53,7 +54,7 @@
   }
 
   /**
-   * A request that this process sent to the engine is over.
+   * Records that a request of this node to the engine has ended.
    *
    * @param sentAtNanos the moment that was passed when it was sent
    */
@@ -66,30 +67,32 @@
     }
   }
 
-  /** Whether there is a report that is recent enough to decide by. */
+  /** Returns whether there is a report that is not too old. */
   public boolean known(long nowNanos) {
     return reported != null && nowNanos - asOfNanos < STALE_NANOS;
   }
 
-  /** The age of the last report; {@link Long#MAX_VALUE} if there was none. */
+  /**
+   * Returns the age of the last report in nanoseconds; {@link Long#MAX_VALUE} if there was none.
+   */
   public long ageNanos(long nowNanos) {
     return reported == null ? Long.MAX_VALUE : nowNanos - asOfNanos;
   }
 
   /**
-   * Requests that the engine has taken, waiting ones among them.
+   * Returns the number of requests that the engine has accepted, including waiting ones.
    *
-   * @return at least 0; 0 if nothing recent is known
+   * @return at least 0; 0 if there is no report that is not too old
    */
   public int requests(long nowNanos) {
     return known(nowNanos) ? reported.waiting() + reported.running() + sentSince() : 0;
   }
 
   /**
-   * Requests that wait for a place.
+   * Returns the number of requests that wait for a slot.
    *
    * @param slots requests that the engine works on at once
-   * @return at least 0; 0 if nothing recent is known
+   * @return at least 0; 0 if there is no report that is not too old
    */
   public int waiting(int slots, long nowNanos) {
     if (!known(nowNanos)) {
@@ -99,17 +102,22 @@
     return reported.waiting() + Math.max(0, sentSince() - free);
   }
 
-  /** Tokens of memory that the engine has; 0 if nothing recent is known. */
+  /**
+   * Returns the tokens of memory that the engine has; 0 if there is no report that is not too old.
+   */
   public long totalTokens(long nowNanos) {
     return known(nowNanos) ? reported.totalTokens() : 0;
   }
 
-  /** The part of the engine's memory that can't be given up; 0 if nothing recent is known. */
+  /**
+   * Returns the part of the engine's memory that can't be evicted; 0 if there is no report that is
+   * not too old.
+   */
   public double memoryShare(long nowNanos) {
     return known(nowNanos) ? reported.memoryShare() : 0;
   }
 
-  /** Requests under way of this process that the report can't have counted. */
+  /** Returns the number of requests in flight from this node that the report can't include. */
   private int sentSince() {
     int since = 0;
     for (int i = 0; i < inFlight; i++) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/ServicePerformance.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/directory/ServicePerformance.java
@@ -1,22 +1,31 @@
 package org.baykeel.gateway.directory;
 
 /**
- * How fast the engines of a service work, learnt from this process's own requests. Starting values
- * only serve until the first answers are in; nothing here is a property of one deployment.
+ * The performance of the engines of a service, learnt from this node's own requests. The initial
+ * values are used only until the first responses have been observed, so no value depends on a
+ * particular deployment.
  */
 public final class ServicePerformance {
-  /** What one more observation leaves of the weight of the earlier ones; about 200 count. */
+  /**
+   * The factor by which each observation reduces the weight of the earlier ones; about the last 200
+   * count.
+   */
   private static final double DECAY = 0.995;
 
   /** Weight of one observation of a plain mean; about the last 50 count. */
   private static final double SMOOTHING = 0.02;
 
-  /** A low estimate falls this fast to an observation below it, and rises a tenth as fast. */
+  /**
+   * Weight of an observation below the estimate of the time to the first event. An observation
+   * above it has a tenth of this weight, so that the estimate stays near the lowest values.
+   */
   private static final double FALL_RATE = 0.2;
 
   private static final double RISE_RATE = 0.02;
 
-  /** Prompts whose lengths differ less than this tell nothing of the speed of reading. */
+  /**
+   * Prompts whose lengths deviate by less than this many tokens do not determine the prefill rate.
+   */
   private static final double MIN_TOKENS_DEVIATION = 50;
 
   private static final double INITIAL_MILLIS_PER_TOKEN = 0.01;
@@ -41,10 +50,10 @@
   private double nonStreamMillis = INITIAL_NON_STREAM_MILLIS;
 
   /**
-   * Notes the first event of a stream.
+   * Records the first event of a stream.
    *
-   * @param uncachedTokens tokens of the prompt that the engine was believed not to keep
-   * @param millis the time since the request was sent
+   * @param uncachedTokens tokens of the prompt that the engine was believed not to have cached
+   * @param millis the time since the request was sent, in milliseconds
    */
   public void observeFirstEvent(int uncachedTokens, double millis) {
     weight = weight * DECAY + 1;
@@ -58,7 +67,7 @@
     firstEventMillis += rate * (beyondPrefill - firstEventMillis);
   }
 
-  /** Least squares over the observations that still count. */
+  /** Fits the prefill time per token by least squares over the weighted observations. */
   private void fitPrefill() {
     double mean = sumTokens / weight;
     double variance = sumTokensSquared / weight - mean * mean;
@@ -70,57 +79,60 @@
     millisPerToken = Math.max(MIN_MILLIS_PER_TOKEN, Math.min(MAX_MILLIS_PER_TOKEN, slope));
   }
 
-  /** Notes the time between two events of a stream, in milliseconds. */
+  /** Records the time between two events of a stream, in milliseconds. */
   public void observeInterEventTime(double millis) {
     interEventMillis += SMOOTHING * (millis - interEventMillis);
   }
 
-  /** Notes how many events a whole stream had. */
+  /** Records the number of events of a complete stream. */
   public void observeEvents(int events) {
     eventsPerStream += SMOOTHING * (events - eventsPerStream);
   }
 
-  /** Notes by how many tokens the prompt of a line of turns grew since its last turn. */
+  /** Records by how many tokens the prompt of a conversation grew since its last turn. */
   public void observeNewTokens(int tokens) {
     newTokens += SMOOTHING * (tokens - newTokens);
   }
 
-  /** Notes the time that a whole answer other than a stream took, in milliseconds. */
+  /** Records the time of a complete response that is not a stream, in milliseconds. */
   public void observeNonStream(double millis) {
     nonStreamMillis += SMOOTHING * (millis - nonStreamMillis);
   }
 
-  /** The time to read tokens that are not kept, in milliseconds. */
+  /** Returns the time to prefill tokens that are not cached, in milliseconds. */
   public double prefillMillis(double tokens) {
     return tokens * millisPerToken;
   }
 
-  /** The time to the first event of an idle engine that keeps the whole prompt, in milliseconds. */
+  /**
+   * Returns the time to the first event of an idle engine that has cached the whole prompt, in
+   * milliseconds.
+   */
   public double firstEventMillis() {
     return firstEventMillis;
   }
 
-  /** The usual time between two events of a stream, in milliseconds. */
+  /** Returns the usual time between two events of a stream, in milliseconds. */
   public double interEventMillis() {
     return interEventMillis;
   }
 
-  /** The usual number of events of a stream. */
+  /** Returns the usual number of events of a stream. */
   public double eventsPerStream() {
     return eventsPerStream;
   }
 
-  /** Tokens by which a prompt usually grows from turn to turn. */
+  /** Returns the number of tokens by which a prompt usually grows from turn to turn. */
   public double newTokens() {
     return newTokens;
   }
 
-  /** The usual time of an answer that is not a stream, in milliseconds. */
+  /** Returns the usual time of a response that is not a stream, in milliseconds. */
   public double nonStreamMillis() {
     return nonStreamMillis;
   }
 
-  /** The usual time of a stream once its first event is there, in milliseconds. */
+  /** Returns the usual time of a stream after its first event, in milliseconds. */
   public double streamMillis() {
     return eventsPerStream * interEventMillis;
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/directory/TestEngineRestart.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/directory/TestEngineRestart.java
@@ -15,7 +15,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** An engine starts again under its identifier, and messages of both lives arrive in any order. */
+/**
+ * An engine restarts under its identifier, and messages of both incarnations arrive in any order.
+ */
 class TestEngineRestart {
   private static final EngineId ID = new EngineId("e");
   private static final long START_MILLIS = 1_700_000_000_000L;
@@ -36,17 +38,17 @@
     directory.onSuspicion(suspected::add);
   }
 
-  private static EngineRecord entry(long bornMillis, int slots, long coldMillis) {
+  private static EngineRecord entry(long startMillis, int slots, long coldMillis) {
     return new EngineRecord(
-        ID.value(), "s", "10.0.0.1", 80, "z", slots, false, coldMillis, bornMillis);
+        ID.value(), "s", "10.0.0.1", 80, "z", slots, false, coldMillis, startMillis);
   }
 
-  private Engine put(long bornMillis) {
-    directory.put(entry(bornMillis, 4, 0), NOW);
+  private Engine put(long startMillis) {
+    directory.put(entry(startMillis, 4, 0), NOW);
     return directory.find(ID);
   }
 
-  /** An engine of which something is believed in every respect. */
+  /** Returns an engine with observations of every kind. */
   private Engine engineWithObservations() {
     directory.put(entry(START_MILLIS, 4, 3_000), NOW);
     Engine engine = directory.find(ID);
@@ -77,7 +79,7 @@
     assertEquals(Long.MAX_VALUE, present.warmForNanos(NOW));
   }
 
-  @ParameterizedTest(name = "its entry says that it is cold: {0}")
+  @ParameterizedTest(name = "cold according to its entry: {0}")
   @ValueSource(booleans = {true, false})
   void anIncarnationFoundByAReportIsColdUntilItsEntryArrives(boolean cold) {
     put(START_MILLIS);
