--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/EngineLoadView.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/EngineLoadView.java
@@ -6,14 +6,17 @@
 import org.baykeel.gateway.directory.LoadEstimate;
 
 /**
- * What a node knows about the reports of one engine: the last one, and how recently a node that
- * comes before this one told of it.
+ * The reports of one engine as seen by this node: the last report, and how recently a node that
+ * ranks before this one in the engine's rendezvous order published a report.
  */
 final class EngineLoadView {
-  /** An engine is loaded from this part of its memory on. */
+  /** The memory share above which an engine counts as loaded. */
   private static final double LOADED_MEMORY_SHARE = 0.75;
 
-  /** A longer time between two notices is a silence, and not how often a node tells. */
+  /**
+   * A longer time between two notices means that a node stopped publishing; it is not the interval
+   * at which the node publishes.
+   */
   private static final long MAX_NOTICE_INTERVAL_NANOS = 4_000_000_000L;
 
   private final Engine engine;
@@ -41,7 +44,7 @@
   /**
    * Adopts a report unless a later one is known.
    *
-   * @return false if it is too old to be of use
+   * @return false if the report is too old to be used
    */
   boolean adopt(LoadReport report, long asOfNanos, long nowNanos) {
     if (nowNanos - asOfNanos >= LoadEstimate.STALE_NANOS) {
@@ -54,29 +57,31 @@
     return true;
   }
 
-  /** A node that comes before this one has told of the engine. */
+  /** Records that a node that ranks before this one published a report of the engine. */
   void precedingNodeReported(long nowNanos) {
     long interval = nowNanos - precedingNoticeNanos;
     precedingNoticeIntervalNanos = interval > MAX_NOTICE_INTERVAL_NANOS ? 0 : interval;
     precedingNoticeNanos = nowNanos;
   }
 
-  /** For how long no node that comes before this one has told of the engine. */
+  /**
+   * Returns for how long no node that ranks before this one has published a report of the engine.
+   */
   long silenceNanos(long nowNanos) {
     return nowNanos - precedingNoticeNanos;
   }
 
-  /** The time between the last two times that such a node told of it; 0 if not known. */
+  /** Returns the time between the last two such reports in nanoseconds; 0 if it is not known. */
   long precedingNoticeIntervalNanos() {
     return precedingNoticeIntervalNanos;
   }
 
-  /** Whether any node has told of it within a time. */
+  /** Returns whether this node received a report of the engine from any node within a time. */
   boolean reportedWithin(long nanos, long nowNanos) {
     return lastReported != null && nowNanos - reportedNanos < nanos;
   }
 
-  /** Whether the last report says that it is loaded. */
+  /** Returns whether the engine is loaded according to its last report. */
   boolean reportedLoaded() {
     return lastReported != null
         && loaded(
@@ -85,7 +90,10 @@
             lastReported.memoryShare());
   }
 
-  /** Whether it is loaded as far as this node knows, its own requests among that. */
+  /**
+   * Returns whether the engine is loaded according to the load estimate, which includes this node's
+   * own requests.
+   */
   boolean estimatedLoaded(long nowNanos) {
     LoadEstimate load = engine.load();
     return loaded(
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/EventLoopLag.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/EventLoopLag.java
@@ -1,8 +1,8 @@
 package org.baykeel.gateway.load;
 
 /**
- * How late this process's event loop runs. What was received during a stall was not read then, so
- * it is older than it seems.
+ * Measures how late the event loop of this process runs. A message that was received during a stall
+ * was not read then, so it is older than its time of reading suggests.
  */
 final class EventLoopLag {
   private final long intervalNanos;
@@ -14,13 +14,16 @@
     this.tickNanos = nowNanos;
   }
 
-  /** A task that is to run at each interval runs now. */
+  /** Records a run of the task that is scheduled once per interval. */
   void tick(long nowNanos) {
     lastLagNanos = Math.max(0, nowNanos - tickNanos - intervalNanos);
     tickNanos = nowNanos;
   }
 
-  /** How much older than it seems something may be that is read now. */
+  /**
+   * Returns by how much a message that is read now may be older than its time of reading suggests,
+   * in nanoseconds.
+   */
   long lagNanos(long nowNanos) {
     return Math.max(lastLagNanos, nowNanos - tickNanos - intervalNanos);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadNoticePublisher.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadNoticePublisher.java
@@ -15,18 +15,23 @@
 import org.baykeel.gateway.runtime.EventLoop;
 
 /**
- * Tells the reports that this node got to the nodes of its region, those of one round in as few
- * datagrams as hold them. The bytes are bounded: a report is asked for only when there is room to
- * tell it.
+ * Publishes the reports that this node received to the nodes of its region, and packs those of one
+ * round into as few datagrams as possible. The bytes sent are limited: the reporter queries an
+ * engine only if there is budget to publish its report.
  */
 final class LoadNoticePublisher {
-  /** What one node sends of notices in a second, on the link and to all nodes together. */
+  /**
+   * Bytes of notices that one node sends per second, counted on the link and to all nodes together.
+   */
   static final long BYTES_PER_SECOND = 16_384;
 
-  /** What may be sent at once after a calm time: a report to the most nodes that are known. */
+  /**
+   * Bytes that may be sent at once after a time without notices: one report to the largest number
+   * of nodes that can be known.
+   */
   static final long MAX_BURST_BYTES = 131_072;
 
-  /** Answers of one round come within this time. */
+  /** Within this time all responses of one round arrive. */
   private static final long BATCH_MILLIS = 10;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -42,7 +47,7 @@
   private long datagrams;
   private long bytes;
 
-  /** A report to tell. */
+  /** A report that is to be published. */
   private record Pending(LoadReport report, long asOfNanos, long reservedBytes) {}
 
   LoadNoticePublisher(
@@ -54,36 +59,36 @@
     this.budget = new ByteBudget(BYTES_PER_SECOND, MAX_BURST_BYTES, eventLoop.nanoTime());
   }
 
-  /** The bytes that a round costs besides its engines. */
+  /** Returns the bytes of a round without its engines. */
   long roundBytes() {
     return EngineLoadNoticeCodec.emptyWireBytes() * peers.peersInRegion().size();
   }
 
-  /** The bytes that telling of an engine adds to a round. */
+  /** Returns the bytes that one engine adds to a round. */
   long entryBytes(EngineId engine) {
     return (long) EngineLoadNoticeCodec.entryBytes(engine) * peers.peersInRegion().size();
   }
 
-  /** Whether there is room for bytes, or as much as there ever is. */
+  /** Returns whether the budget covers these bytes, or is at its maximum. */
   boolean hasBudget(long wantedBytes) {
     return budget.available(eventLoop.nanoTime()) - reservedBytes
         >= Math.min(wantedBytes, MAX_BURST_BYTES);
   }
 
-  /** Sets bytes aside for what is asked now and told later. */
+  /** Reserves bytes for a report that is queried now and published later. */
   void reserve(long newBytes) {
     reservedBytes += newBytes;
   }
 
-  /** Gives back what {@link #reserve} set aside. */
+  /** Returns bytes reserved by {@link #reserve} to the budget. */
   void release(long reserved) {
     reservedBytes -= reserved;
   }
 
   /**
-   * Tells a report soon, together with others.
+   * Publishes a report soon, together with others.
    *
-   * @param reserved what {@link #reserve} set aside for it
+   * @param reserved the bytes reserved for it by {@link #reserve}
    */
   void publish(EngineId engine, LoadReport report, long asOfNanos, long reserved) {
     Pending before = pending.put(engine, new Pending(report, asOfNanos, reserved));
@@ -121,19 +126,20 @@
   private void send(PeerMessage.EngineLoadNotice notice, long nowNanos) {
     byte[] datagram = codec.encode(notice);
     long cost = ByteBudget.wireBytes(datagram.length) * peers.peersInRegion().size();
-    // Answers that came apart, or nodes that became known since, cost more than was set aside.
+    // A round that was split over several datagrams, or nodes that joined since, cost more bytes
+    // than were reserved.
     budget.consume(cost, nowNanos);
     peers.peersInRegion().forEach(peer -> transport.send(peer, datagram));
     datagrams += peers.peersInRegion().size();
     bytes += cost;
   }
 
-  /** Datagrams sent so far. */
+  /** Returns the number of datagrams sent. */
   long datagrams() {
     return datagrams;
   }
 
-  /** Bytes that they took on the link. */
+  /** Returns the bytes that they took on the link. */
   long bytes() {
     return bytes;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadQueryResult.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadQueryResult.java
@@ -1,25 +1,26 @@
 package org.baykeel.gateway.load;
 
-/** How a question for an engine's load ended. */
+/** The result of a query for an engine's load. */
 public sealed interface LoadQueryResult {
 
   /**
-   * The engine told its load.
+   * The engine returned its load.
    *
-   * @param report what it told
+   * @param report the report
    * @param asOfNanos the earliest moment that the report may describe, by this process's clock
    */
   record Reported(LoadReport report, long asOfNanos) implements LoadQueryResult {}
 
   /**
-   * The engine answered without a report that can be used; asking again soon is of no use.
+   * The engine responded without a usable report, so that another query within seconds would not
+   * help.
    *
    * @param reason one phrase
    */
   record Unavailable(String reason) implements LoadQueryResult {}
 
   /**
-   * No answer came.
+   * No response arrived.
    *
    * @param reason one phrase
    */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadQuerySchedule.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadQuerySchedule.java
@@ -1,44 +1,48 @@
 package org.baykeel.gateway.load;
 
 /**
- * When it is this node's turn to ask one engine for its load.
+ * Decides when this node queries one engine for its load.
  *
- * <p>The first node in the engine's order asks at its own pace, whatever others tell. Each further
- * node asks once no node before it has told of the engine for longer than the usual time between
- * two notices, and by its place longer; from then on it asks at the same pace, until a node before
- * it tells again. So nobody is set aside: a first node that is back just goes on.
+ * <p>The first node in the engine's rendezvous order queries at its own interval, whatever other
+ * nodes publish. Each further node starts once no node that ranks before it has published a report
+ * for longer than the usual time between two notices plus a delay that grows with its rank. From
+ * then on it queries at the same interval, until a node that ranks before it publishes again. No
+ * node is ever marked as failed: a first node that comes back simply continues.
  */
 final class LoadQuerySchedule {
-  /** Between two questions to an engine that is loaded. */
+  /** The interval of queries to a loaded engine. */
   static final long LOADED_INTERVAL_NANOS = 200_000_000L;
 
   /**
-   * Between two questions to a calm engine. With one turn and the way it stays below a second, the
-   * time within which a reporter that is gone is replaced.
+   * The interval of queries to an engine that is not loaded. Together with one takeover step and
+   * the round trip it is below one second, the time within which a failed reporter is replaced.
    */
   static final long UNLOADED_INTERVAL_NANOS = 700_000_000L;
 
-  /** What each place in the order waits longer than the one before; more than rounds vary. */
+  /**
+   * The additional delay of each rank before it takes over. Longer than the variation between
+   * rounds.
+   */
   private static final long TAKEOVER_STEP_NANOS = 150_000_000L;
 
-  /** How long an engine without reports isn't asked again. */
+  /** The interval of queries to an engine that returned no usable report. */
   static final long UNAVAILABLE_RETRY_NANOS = 30_000_000_000L;
 
   private static final long MAX_BACKOFF_NANOS = 5_000_000_000L;
   private static final int MAX_DOUBLINGS = 5;
 
   /**
-   * Nodes that ask an engine of which nothing was told lately: it may have no reports, or be gone,
-   * and need not be asked by all nodes.
+   * The number of nodes that query an engine without a current report. Such an engine may not
+   * return reports or may be gone, so not every node needs to query it.
    */
   private static final int PROBING_NODES = 5;
 
-  /** An engine of which something was told within this time gives reports. */
+  /** An engine of which a report was received within this time returns reports. */
   private static final long REPORTING_WITHIN_NANOS = 10_000_000_000L;
 
   /**
-   * Part of the interval from which on an engine is asked together with others: beyond a half,
-   * engines of one interval end in two rounds at most.
+   * The part of the interval after which an engine may be queried together with others. Above one
+   * half, so that engines of the same interval end up in at most two rounds.
    */
   private static final double EARLY_QUERY_PART = 0.6;
 
@@ -65,16 +69,16 @@
     return view;
   }
 
-  /** Whether the place was worked out among this many other nodes. */
+  /** Returns whether the rank was computed among this many other nodes. */
   boolean rankedAmong(int nodes) {
     return rankAmong == nodes;
   }
 
   /**
-   * Sets this node's place in the engine's order.
+   * Sets this node's rank in the engine's rendezvous order.
    *
-   * @param newRank how many nodes come before this one
-   * @param nodes the other nodes known then
+   * @param newRank the number of nodes that rank before this one
+   * @param nodes the number of other nodes known at that time
    */
   void rank(int newRank, int nodes) {
     rank = newRank;
@@ -85,12 +89,12 @@
     return rank;
   }
 
-  /** Whether it is time to ask. */
+  /** Returns whether a query is due. */
   boolean due(long nowNanos) {
     return dueAfter(intervalNanos(nowNanos), nowNanos);
   }
 
-  /** Whether asking now, with others, spares a notice of its own soon. */
+  /** Returns whether a query now, together with others, saves a separate notice later. */
   boolean nearlyDue(long nowNanos) {
     return dueAfter((long) (EARLY_QUERY_PART * intervalNanos(nowNanos)), nowNanos);
   }
@@ -123,7 +127,8 @@
   }
 
   /**
-   * For how long the engine was not asked; the longest waits first where there is not room for all.
+   * Returns for how long the engine was not queried, in nanoseconds. If the budget does not cover
+   * all engines, the longest comes first.
    */
   long sinceLastQueryNanos(long nowNanos) {
     return everQueried ? nowNanos - queriedNanos : Long.MAX_VALUE;
@@ -136,26 +141,29 @@
   }
 
   /**
-   * The engine told its load.
+   * Records that the engine returned its load.
    *
-   * @return whether this node now reports in another's stead, and did not before
+   * @return whether this node now reports in place of another node, and did not before
    */
   boolean reportReceived() {
     inFlight = false;
     consecutiveFailures = 0;
-    boolean begins = rank > 0 && !substitute;
+    boolean starts = rank > 0 && !substitute;
     substitute = rank > 0;
-    return begins;
+    return starts;
   }
 
-  /** The engine has no report to give. */
+  /** Records that the engine returned no usable report. */
   void unavailable(long nowNanos) {
     inFlight = false;
     substitute = false;
     notBeforeNanos = nowNanos + UNAVAILABLE_RETRY_NANOS;
   }
 
-  /** No answer came: the next round asks, later ones more and more rarely. */
+  /**
+   * Records that no response arrived: the next round queries again, and later queries are delayed
+   * by exponential backoff.
+   */
   void noResponse(long nowNanos) {
     inFlight = false;
     int doublings = Math.min(MAX_DOUBLINGS, consecutiveFailures);
@@ -167,17 +175,17 @@
   }
 
   /**
-   * A node that comes before this one tells of the engine.
+   * Records that a node that ranks before this one published a report of the engine.
    *
-   * @return whether this node reported in its stead until now
+   * @return whether this node reported in its place until now
    */
   boolean precedingNodeReported() {
-    boolean ends = substitute;
+    boolean stops = substitute;
     substitute = false;
-    return ends;
+    return stops;
   }
 
-  /** Whether this node has reported of the engine lately. */
+  /** Returns whether this node currently reports the load of the engine. */
   boolean isReporting(long nowNanos) {
     return (rank == 0 || substitute)
         && everQueried
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReport.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReport.java
@@ -3,9 +3,10 @@
 import org.baykeel.gateway.directory.EngineLoad;
 
 /**
- * What an engine says when it is asked for its load.
+ * The report that an engine returns when it is queried for its load.
  *
  * @param load its load
- * @param startMillis when this life of the engine began, by the engine's clock; 0 if it did not say
+ * @param startMillis when this incarnation of the engine started, in Unix milliseconds by the
+ *     engine's clock; 0 if not given
  */
 public record LoadReport(EngineLoad load, long startMillis) {}
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReportClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReportClient.java
@@ -3,12 +3,12 @@
 import java.util.function.Consumer;
 import org.baykeel.gateway.directory.Engine;
 
-/** Asks engines for their load. */
+/** Queries engines for their load. */
 @FunctionalInterface
 public interface LoadReportClient {
 
   /**
-   * Asks an engine; its caller has no other question to it under way.
+   * Queries an engine. The caller has no other query to this engine in flight.
    *
    * @param engine the engine
    * @param callback is called once, on the event loop, after a bounded time
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReportFormat.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReportFormat.java
@@ -2,20 +2,23 @@
 
 import java.util.Optional;
 
-/** How engines are asked for their load, and what they answer. */
+/** The request that queries an engine for its load, and the format of its response. */
 public interface LoadReportFormat {
 
-  /** The path that is asked. */
+  /** Returns the path of the request. */
   String path();
 
-  /** How far a report may lag behind the engine when it answers, in milliseconds. */
+  /**
+   * Returns by how much a report may lag behind the engine when the engine responds, in
+   * milliseconds.
+   */
   long lagMillis();
 
   /**
-   * Reads a report.
+   * Decodes a report.
    *
-   * @param body bytes that may be anything
-   * @return nothing if they are no report that can be used
+   * @param body the body of the response, which may be arbitrary bytes
+   * @return empty if the body is not a usable report
    */
   Optional<LoadReport> decode(byte[] body);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReporter.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReporter.java
@@ -15,14 +15,14 @@
 import org.baykeel.gateway.telemetry.GatewayLog;
 import org.baykeel.gateway.topology.Topology;
 
-/** Asks the engines whose turn it is at this node for their load, and has the answers told. */
+/** Queries the engines for which this node is the reporter, and publishes their reports. */
 final class LoadReporter {
   static final long TICK_MILLIS = 50;
 
-  /** Bounds the time of one tick where many nodes and engines are known. */
+  /** Limits the time of one tick where many nodes and engines are known. */
   private static final int RANKS_PER_TICK = 20;
 
-  /** A region that loses many nodes at once must not fill the log. */
+  /** Limits the log lines of a region that loses many nodes at once. */
   private static final int LOG_LINES_PER_SECOND = 20;
 
   private static final long TICKS_PER_SECOND = 1_000 / TICK_MILLIS;
@@ -32,10 +32,10 @@
   private final PeerDirectory peers;
   private final RendezvousOrder order;
   private final Topology topology;
-  private final LoadReportClient reports;
-  private final LoadView board;
+  private final LoadReportClient reportClient;
+  private final LoadView loadView;
   private final LoadNoticePublisher notices;
-  private final EventLoopLag stall;
+  private final EventLoopLag lag;
   private final EventLoop eventLoop;
   private final GatewayLog log;
   private final Map<EngineLoadView, LoadQuerySchedule> schedules = new HashMap<>();
@@ -47,34 +47,34 @@
       PeerDirectory peers,
       RendezvousOrder order,
       Topology topology,
-      LoadReportClient reports,
-      LoadView board,
+      LoadReportClient reportClient,
+      LoadView loadView,
       LoadNoticePublisher notices,
-      EventLoopLag stall,
+      EventLoopLag lag,
       EventLoop eventLoop,
       GatewayLog log) {
     this.engines = engines;
     this.peers = peers;
     this.order = order;
     this.topology = topology;
-    this.reports = reports;
-    this.board = board;
+    this.reportClient = reportClient;
+    this.loadView = loadView;
     this.notices = notices;
-    this.stall = stall;
+    this.lag = lag;
     this.eventLoop = eventLoop;
     this.log = log;
-    board.onPrecedingNodeReport(this::onPrecedingNodeReport);
+    loadView.onPrecedingNodeReport(this::onPrecedingNodeReport);
   }
 
   void tick() {
     long now = eventLoop.nanoTime();
-    stall.tick(now);
+    lag.tick(now);
     if (ticks++ % TICKS_PER_SECOND == 0) {
       remainingLogLines = LOG_LINES_PER_SECOND;
-      board.forgetRemoved();
+      loadView.forgetRemoved();
       schedules.keySet().removeIf(view -> view.engine().removed());
     }
-    // A node that doesn't know the others yet would take itself for the first everywhere.
+    // A node that doesn't know its peers yet would consider itself the first node for every engine.
     if (peers.peersIfLoaded().isPresent()) {
       queryDueEngines(now);
     }
@@ -106,8 +106,8 @@
   }
 
   /**
-   * Asks engines together, so that one notice tells of them. Those of which this node is the first
-   * wait until there is room for all of them; the others get what is left.
+   * Queries engines together, so that one notice contains all of them. Engines for which this node
+   * is the first wait until the budget covers all of these; the others share the remaining budget.
    */
   private void queryRound(List<LoadQuerySchedule> round, long now) {
     Comparator<LoadQuerySchedule> byRank = Comparator.comparingInt(LoadQuerySchedule::rank);
@@ -133,7 +133,7 @@
 
   private LoadQuerySchedule scheduleOf(Engine engine, long now) {
     return schedules.computeIfAbsent(
-        board.viewOf(engine),
+        loadView.viewOf(engine),
         view ->
             new LoadQuerySchedule(
                 view, topology.localityOf(engine.record().zone()).inRegion(), now));
@@ -142,7 +142,7 @@
   private void query(LoadQuerySchedule schedule, long reserved, long now) {
     notices.reserve(reserved);
     schedule.queryStarted(now);
-    reports.query(schedule.view().engine(), result -> onResult(schedule, reserved, result));
+    reportClient.query(schedule.view().engine(), result -> onResult(schedule, reserved, result));
   }
 
   private void onResult(LoadQuerySchedule schedule, long reserved, LoadQueryResult result) {
@@ -163,14 +163,17 @@
     }
   }
 
-  /** The engine may have begun another life since it was asked, which this report tells first. */
+  /**
+   * The engine may have restarted since the query was sent, and this report may be the first
+   * message with its new start time.
+   */
   private void adopt(EngineId id, LoadQueryResult.Reported reported, long reserved, long now) {
     LoadReport report = reported.report();
-    if (!board.isCurrentIncarnation(id, report.startMillis())) {
+    if (!loadView.isCurrentIncarnation(id, report.startMillis())) {
       notices.release(reserved);
       return;
     }
-    board.viewOf(engines.find(id)).adopt(report, reported.asOfNanos(), now);
+    loadView.viewOf(engines.find(id)).adopt(report, reported.asOfNanos(), now);
     notices.publish(id, report, reported.asOfNanos(), reserved);
   }
 
@@ -209,7 +212,7 @@
     }
   }
 
-  /** Engines of which this node has told lately. */
+  /** Returns the number of engines that this node currently reports. */
   long enginesReported() {
     long now = eventLoop.nanoTime();
     return schedules.values().stream().filter(schedule -> schedule.isReporting(now)).count();
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadSharing.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadSharing.java
@@ -17,23 +17,23 @@
 import org.baykeel.gateway.telemetry.GatewayMetrics;
 import org.baykeel.gateway.topology.Topology;
 
-/** This node's part in the shared view of the engines' load. Used only from the event loop. */
+/** This node's part in the exchange of load reports among nodes. Used only from the event loop. */
 public final class LoadSharing implements PeerMessageListener {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   private final EngineDirectory engines;
   private final EventLoop eventLoop;
-  private final LoadView board;
+  private final LoadView loadView;
   private final LoadNoticePublisher notices;
   private final LoadReporter reporter;
   private boolean started;
 
   /**
-   * Creates a part that asks nobody until it is started.
+   * Creates an instance that sends no queries until it is started.
    *
    * @param self this node
-   * @param reports asks engines
-   * @param latency how far other nodes are
+   * @param reportClient queries engines for their load
+   * @param latency gives the round trips to other nodes
    */
   public LoadSharing(
       PeerAddress self,
@@ -42,23 +42,23 @@
       PeerTransport transport,
       PeerMessageCodec codec,
       Topology topology,
-      LoadReportClient reports,
+      LoadReportClient reportClient,
       PeerLatency latency,
       EventLoop eventLoop,
       GatewayLog log) {
     this.engines = engines;
     this.eventLoop = eventLoop;
     RendezvousOrder order = new RendezvousOrder(self, peers::peersInRegion);
-    EventLoopLag stall =
+    EventLoopLag lag =
         new EventLoopLag(LoadReporter.TICK_MILLIS * NANOS_PER_MILLI, eventLoop.nanoTime());
-    this.board = new LoadView(engines, order, latency, eventLoop, stall);
+    this.loadView = new LoadView(engines, order, latency, eventLoop, lag);
     this.notices = new LoadNoticePublisher(peers, transport, codec, eventLoop);
     this.reporter =
         new LoadReporter(
-            engines, peers, order, topology, reports, board, notices, stall, eventLoop, log);
+            engines, peers, order, topology, reportClient, loadView, notices, lag, eventLoop, log);
   }
 
-  /** Begins to ask engines whose turn it is at this node; later calls do nothing. */
+  /** Starts to query the engines for which this node is the reporter; later calls do nothing. */
   public void start() {
     if (!started) {
       started = true;
@@ -68,16 +68,16 @@
 
   @Override
   public void onMessage(PeerAddress sender, PeerMessage message) {
-    board.onMessage(sender, message);
+    loadView.onMessage(sender, message);
   }
 
-  /** Adds what is known, how old it is and where it came from to a process's figures. */
+  /** Registers metrics on the number of known reports, their age and the exchange of notices. */
   public void register(GatewayMetrics metrics) {
     gauge(metrics, "median_age_milliseconds", () -> ageMillis(0.5));
     gauge(metrics, "oldest_age_milliseconds", () -> ageMillis(1));
     gauge(metrics, "engines_known", () -> knownAges().count());
     gauge(metrics, "engines_reported_here", reporter::enginesReported);
-    gauge(metrics, "notices_received", board::notices);
+    gauge(metrics, "notices_received", loadView::notices);
     gauge(metrics, "datagrams_sent", notices::datagrams);
     gauge(metrics, "sent_bytes", notices::bytes);
   }
@@ -86,7 +86,7 @@
     metrics.gauge("baykeel_gateway_load_" + name, reading);
   }
 
-  /** Ages of the reports that are recent enough to decide by. */
+  /** Returns the ages, in nanoseconds, of the reports that are not too old. */
   private LongStream knownAges() {
     long now = eventLoop.nanoTime();
     return engines.all().stream()
@@ -95,9 +95,9 @@
   }
 
   /**
-   * The age that a part of the known reports does not exceed.
+   * Returns the age that the given part of the known reports does not exceed.
    *
-   * @return milliseconds; -1 if nothing is known
+   * @return milliseconds; -1 if no report is known
    */
   private long ageMillis(double part) {
     long[] ages = knownAges().sorted().toArray();
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadView.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadView.java
@@ -15,47 +15,47 @@
 import org.baykeel.gateway.runtime.EventLoop;
 
 /**
- * Adopts what other nodes tell of engines' load. The newest report wins, whoever told it; the age
- * that counts is the one that was told, and on top the longest that the datagram may have been on
- * its way or unread.
+ * The load view: adopts the reports that other nodes publish. The newest report wins, whichever
+ * node published it. The age of a report is the one given in the notice plus the longest time that
+ * the datagram may have been on the network or unread.
  */
 final class LoadView implements PeerMessageListener {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   private final EngineDirectory engines;
   private final RendezvousOrder order;
-  private final PeerLatency distance;
+  private final PeerLatency latency;
   private final EventLoop eventLoop;
-  private final EventLoopLag stall;
+  private final EventLoopLag lag;
   private final Map<String, EngineLoadView> viewById = new HashMap<>();
   private Consumer<EngineLoadView> onPrecedingNodeReport = view -> {};
   private long notices;
 
   /**
-   * Creates a board that knows nothing.
+   * Creates an empty load view.
    *
-   * @param order tells which nodes come before this one
-   * @param latency the time to a node and back bounds the way of its datagrams
+   * @param order gives the nodes that rank before this one for an engine
+   * @param latency the round trip to a node limits the time that its datagrams were on the network
    */
   LoadView(
       EngineDirectory engines,
       RendezvousOrder order,
       PeerLatency latency,
       EventLoop eventLoop,
-      EventLoopLag stall) {
+      EventLoopLag lag) {
     this.engines = engines;
     this.order = order;
-    this.distance = latency;
+    this.latency = latency;
     this.eventLoop = eventLoop;
-    this.stall = stall;
+    this.lag = lag;
   }
 
-  /** Sets who hears that a node that comes before this one told of an engine. */
+  /** Sets the listener for reports published by a node that ranks before this one. */
   void onPrecedingNodeReport(Consumer<EngineLoadView> listener) {
     onPrecedingNodeReport = listener;
   }
 
-  /** What is known about an engine's reports. */
+  /** Returns the view of an engine's reports. */
   EngineLoadView viewOf(Engine engine) {
     EngineLoadView view = viewById.get(engine.record().id());
     if (view == null || view.engine() != engine) {
@@ -66,26 +66,26 @@
   }
 
   /**
-   * Whether a report is of the present life of a known engine. One of a later life makes all that
-   * is believed of the engine void.
+   * Returns whether a report belongs to the present incarnation of a known engine. A report of a
+   * later incarnation makes it the present one and drops all observations of the former.
    *
-   * @param startMillis when the life that reports began, in Unix milliseconds; 0 if it did not say
+   * @param startMillis when the reporting incarnation started, in Unix milliseconds; 0 if not given
    */
   boolean isCurrentIncarnation(EngineId engine, long startMillis) {
     return engines.adoptStartTime(engine, startMillis, eventLoop.nanoTime());
   }
 
-  /** What is known about the reports of all engines that were seen. */
+  /** Returns the views of all engines seen. */
   Collection<EngineLoadView> views() {
     return viewById.values();
   }
 
-  /** Drops what is known about engines that are gone. */
+  /** Drops the views of removed engines. */
   void forgetRemoved() {
     viewById.values().removeIf(view -> view.engine().removed());
   }
 
-  /** Notices received so far. */
+  /** Returns the number of notices received. */
   long notices() {
     return notices;
   }
@@ -104,8 +104,8 @@
     }
     Engine engine = engines.find(report.engineId());
     long now = eventLoop.nanoTime();
-    long ageMillis = report.ageMillis() + distance.roundTripMillis(sender);
-    long asOf = now - ageMillis * NANOS_PER_MILLI - stall.lagNanos(now);
+    long ageMillis = report.ageMillis() + latency.roundTripMillis(sender);
+    long asOf = now - ageMillis * NANOS_PER_MILLI - lag.lagNanos(now);
     EngineLoadView view = viewOf(engine);
     boolean adopted = view.adopt(new LoadReport(report.load(), report.startMillis()), asOf, now);
     if (adopted && order.outranksSelf(sender, view.id().value())) {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/load/SimulatedRegion.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/load/SimulatedRegion.java
@@ -44,7 +44,7 @@
   final List<Node> nodes = new ArrayList<>();
   private final int engineCount;
 
-  /** One life of one node. */
+  /** One incarnation of one node. */
   final class Node {
     final String name;
     final PeerAddress address;
@@ -59,11 +59,11 @@
       name = "n" + number;
       address = new PeerAddress("10.0.0." + number, 7_000);
       PeerMessageCodec codec = new PeerMessageCodec();
-      PeerTransport way = network.transportOf(address);
+      PeerTransport networkTransport = network.transportOf(address);
       PeerTransport transport =
           (receiver, datagram) -> {
             if (!stopped) {
-              way.send(receiver, datagram);
+              networkTransport.send(receiver, datagram);
             }
           };
       Topology topology = new Topology(zone, REGIONS);
@@ -93,7 +93,7 @@
       sharedLoad.start();
     }
 
-    /** The process ends: it asks, tells and hears nothing more. */
+    /** Stops the process: it sends and receives nothing more. */
     void kill() {
       stopped = true;
       network.detach(address);
@@ -104,8 +104,11 @@
       return engines.find(new EngineId(id));
     }
 
-    /** Requests that the node takes the engine to have; -1 if nothing recent is known. */
-    int seen(String id) {
+    /**
+     * Returns the requests at the engine according to the node's load estimate; -1 if there is no
+     * report that is not too old.
+     */
+    int estimatedRequests(String id) {
       long now = eventLoop.nanoTime();
       return engine(id).load().known(now) ? engine(id).load().requests(now) : -1;
     }
@@ -114,7 +117,7 @@
       return engine(id).load().ageNanos(eventLoop.nanoTime()) / 1_000_000;
     }
 
-    /** A figure as it is shown to an operator. */
+    /** Returns the value of a metric as exposed to an operator. */
     long metric(String name) {
       String full = "baykeel_gateway_load_" + name + ' ';
       return new String(metrics.render(), java.nio.charset.StandardCharsets.UTF_8)
@@ -126,7 +129,7 @@
     }
   }
 
-  /** A region whose nodes know each other and whose engines are all alike. */
+  /** Creates a region whose nodes know each other and whose engines all have the same load. */
   SimulatedRegion(int nodeCount, int engineCount, EngineLoad load) {
     this.engineCount = engineCount;
     IntStream.range(0, engineCount).forEach(i -> reports.set("e" + i, load));
@@ -142,7 +145,7 @@
     return new EngineRecord(id, "s", "10.9.0.1", 80, zone, SLOTS, false);
   }
 
-  /** Starts a node, also one that was there before. */
+  /** Starts a node; the number may be that of a node that ran before. */
   Node start(int number) {
     return start(number, ZONE);
   }
@@ -154,30 +157,32 @@
     return node;
   }
 
-  /** The node that asked an engine last. */
+  /** Returns the node that sent the last query to an engine. */
   Node reporterOf(String engine) {
     String name = null;
-    for (TestingLoadReportClient.Query question : reports.queries()) {
-      if (question.engine().equals(engine)) {
-        name = question.node();
+    for (TestingLoadReportClient.Query query : reports.queries()) {
+      if (query.engine().equals(engine)) {
+        name = query.node();
       }
     }
     String found = name;
     return nodes.stream().filter(node -> node.name.equals(found)).findFirst().orElseThrow();
   }
 
-  /** The nodes that ask an engine from now on for a while, one entry a question. */
+  /**
+   * Returns the nodes that query an engine within the next given time, with one entry per query.
+   */
   List<String> queryingNodes(String engine, long millis) {
     int before = reports.queries().size();
     eventLoop.advance(millis);
     return reports.queries().stream()
         .skip(before)
-        .filter(question -> question.engine().equals(engine))
+        .filter(query -> query.engine().equals(engine))
         .map(TestingLoadReportClient.Query::node)
         .toList();
   }
 
-  /** Cuts or mends all ways between two groups of nodes. */
+  /** Cuts or restores all links between two groups of nodes. */
   void cut(List<Node> one, List<Node> other, boolean cut) {
     for (Node from : one) {
       for (Node to : other) {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/load/TestHerdingPrevention.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/load/TestHerdingPrevention.java
@@ -9,8 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Load: 31 engines half full, one of which looks empty to all of 77 nodes and goes on to look so,
- * since its reports lag.
+ * Guards against herding: all nodes send to the engine that looks empty until its next report. 31
+ * engines are half full; one of them looks empty to all 77 nodes and continues to do so, since its
+ * reports lag.
  */
 class TestHerdingPrevention {
   private static final int NODES = 77;
@@ -32,7 +33,7 @@
     return engine.load().requests(region.eventLoop.nanoTime());
   }
 
-  /** Sends a request and tells whether it went to the engine that looks empty. */
+  /** Sends a request and returns whether it went to the engine that looks empty. */
   private boolean sentToEmpty(Engine engine) {
     engine.requestStarted(region.eventLoop.nanoTime());
     return engine.record().id().equals(EMPTY);
@@ -53,7 +54,9 @@
     return requestsOf(one) <= requestsOf(other) ? one : other;
   }
 
-  /** A node that is asked for much at once fills the engine up to the others, and no further. */
+  /**
+   * A node with a burst of requests fills the engine up to the level of the others, and no further.
+   */
   @Test
   void aBurstAtOneNodeIsNotSentOnlyToTheEngineThatLooksEmpty() {
     SimulatedRegion.Node node = region.nodes.get(5);
@@ -67,7 +70,7 @@
     assertTrue(sent > 0 && sent <= level, "sent " + sent);
   }
 
-  /** Beyond twice its slots, a request would wait for longer than one is worked on. */
+  /** Beyond twice its slots, a request would wait at the engine for longer than it runs. */
   @Test
   void allNodesTogetherDoNotOverfillAnEngineThatLooksEmptyUntilItsReportsArrive() {
     int sent = 0;
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/load/TestLoadSharing.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/load/TestLoadSharing.java
@@ -23,11 +23,11 @@
   private static final EngineLoad CHANGED = new EngineLoad(0, 5, 10, 100);
   private static final PeerAddress UNKNOWN_PEER = new PeerAddress("10.0.9.9", 1);
 
-  private static PeerMessage notice(long ageMillis, long bornMillis, int running) {
+  private static PeerMessage notice(long ageMillis, long startMillis, int running) {
     return new PeerMessage.EngineLoadNotice(
         List.of(
             new PeerMessage.ReportedLoad(
-                new EngineId("e0"), ageMillis, bornMillis, new EngineLoad(0, running, 0, 0))));
+                new EngineId("e0"), ageMillis, startMillis, new EngineLoad(0, running, 0, 0))));
   }
 
   @ParameterizedTest(name = "{0} running of 16")
@@ -38,7 +38,7 @@
       String engine = "e" + i;
       assertEquals(1, new HashSet<>(region.queryingNodes(engine, 1_000)).size(), engine);
       for (SimulatedRegion.Node node : region.nodes) {
-        assertEquals(running, node.seen(engine));
+        assertEquals(running, node.estimatedRequests(engine));
         assertTrue(node.ageMillis(engine) <= oldestMillis, engine + " " + node.ageMillis(engine));
       }
     }
@@ -56,7 +56,7 @@
       region.reporterOf("e1").kill();
       region.reports.set("e1", CHANGED);
       region.eventLoop.advance(1_000);
-      region.nodes.forEach(node -> assertEquals(5, node.seen("e1"), node.name));
+      region.nodes.forEach(node -> assertEquals(5, node.estimatedRequests("e1"), node.name));
     }
   }
 
@@ -67,9 +67,9 @@
     first.kill();
     region.eventLoop.advance(1_000);
     SimulatedRegion.Node substitute = region.reporterOf("e1");
-    List<String> meanwhile = region.queryingNodes("e1", 2_000);
-    assertEquals(Set.of(substitute.name), Set.copyOf(meanwhile));
-    assertTrue(meanwhile.size() >= 8, "asked " + meanwhile.size());
+    List<String> substituteQueries = region.queryingNodes("e1", 2_000);
+    assertEquals(Set.of(substitute.name), Set.copyOf(substituteQueries));
+    assertTrue(substituteQueries.size() >= 8, "queried " + substituteQueries.size());
     assertEquals(List.of(GatewayEvent.LOAD_REPORTER_CHANGED), substitute.events);
     SimulatedRegion.Node back = region.start(Integer.parseInt(first.name.substring(1)));
     region.eventLoop.advance(1_500);
@@ -85,7 +85,7 @@
     region.reporterOf("e1").kill();
     region.reports.set("e1", CHANGED);
     region.eventLoop.advance(1_150);
-    region.nodes.forEach(node -> assertEquals(5, node.seen("e1"), node.name));
+    region.nodes.forEach(node -> assertEquals(5, node.estimatedRequests("e1"), node.name));
   }
 
   @Test
@@ -100,7 +100,7 @@
     region.start(Integer.parseInt(second.name.substring(1)));
     region.eventLoop.advance(4_000);
     assertEquals(Set.of(second.name), Set.copyOf(region.queryingNodes("e1", 1_500)));
-    assertEquals(2, third.events.size(), "it began and ended");
+    assertEquals(2, third.events.size(), "it started and stopped reporting");
   }
 
   @Test
@@ -112,7 +112,7 @@
     region.cut(List.of(reporter), others, true);
     region.reports.set("e1", CHANGED);
     region.eventLoop.advance(1_000);
-    region.nodes.forEach(node -> assertEquals(5, node.seen("e1"), node.name));
+    region.nodes.forEach(node -> assertEquals(5, node.estimatedRequests("e1"), node.name));
   }
 
   @Test
@@ -128,7 +128,7 @@
     region.eventLoop.advance(1_000);
     for (SimulatedRegion.Node node : region.nodes) {
       for (int i = 0; i < 10; i++) {
-        assertEquals(5, node.seen("e" + i), node.name + " e" + i);
+        assertEquals(5, node.estimatedRequests("e" + i), node.name + " e" + i);
       }
     }
     region.cut(left, right, false);
@@ -149,12 +149,12 @@
         node ->
             node.engines.put(SimulatedRegion.record("far", SimulatedRegion.ZONE_OF_OTHER_REGION)));
     region.eventLoop.advance(4_000);
-    List<String> askers = region.queryingNodes("far", 7_000);
-    region.nodes.forEach(node -> assertEquals(19, node.seen("far"), node.name));
-    assertEquals(2, Set.copyOf(askers).size(), "one in each region: " + askers);
+    List<String> queryingNodes = region.queryingNodes("far", 7_000);
+    region.nodes.forEach(node -> assertEquals(19, node.estimatedRequests("far"), node.name));
+    assertEquals(2, Set.copyOf(queryingNodes).size(), "one in each region: " + queryingNodes);
     List<String> west = List.of("n50", "n51", "n52");
-    assertTrue(askers.stream().filter(west::contains).count() >= 7_000 / 250);
-    assertTrue(askers.stream().filter(name -> !west.contains(name)).count() <= 7_000 / 700);
+    assertTrue(queryingNodes.stream().filter(west::contains).count() >= 7_000 / 250);
+    assertTrue(queryingNodes.stream().filter(name -> !west.contains(name)).count() <= 7_000 / 700);
   }
 
   @Test
@@ -165,7 +165,7 @@
       region.eventLoop.advance(1_000);
       for (SimulatedRegion.Node node : region.nodes) {
         for (int i = 0; i < 10; i++) {
-          assertTrue(node.seen("e" + i) >= 0, node.name + " e" + i);
+          assertTrue(node.estimatedRequests("e" + i) >= 0, node.name + " e" + i);
         }
       }
     }
@@ -177,15 +177,15 @@
     region.reports.silence("e0");
     region.eventLoop.advance(2_000);
     SimulatedRegion.Node node = region.nodes.get(0);
-    assertEquals(19, node.seen("e0"));
+    assertEquals(19, node.estimatedRequests("e0"));
     region.eventLoop.advance(1_000);
-    assertEquals(-1, node.seen("e0"));
+    assertEquals(-1, node.estimatedRequests("e0"));
     assertEquals(0, node.engine("e0").load().requests(region.eventLoop.nanoTime()));
     assertEquals(0, node.metric("engines_known"));
     assertEquals(-1, node.metric("oldest_age_milliseconds"));
   }
 
-  @ParameterizedTest(name = "told {0} ms late after one of {1} ms: {2}")
+  @ParameterizedTest(name = "report of age {0} ms after one of age {1} ms: {2} running")
   @CsvSource({"100, 400, 7", "400, 100, 9", "2600, 100, 9", "100, 100, 9"})
   void theNewestReportWinsWhicheverNodePublishedIt(long age, long ageBefore, int expected) {
     SimulatedRegion region = new SimulatedRegion(0, 1, SimulatedRegion.UNLOADED);
@@ -193,7 +193,7 @@
     region.eventLoop.advance(10);
     node.sharedLoad.onMessage(UNKNOWN_PEER, notice(ageBefore, 0, 9));
     node.sharedLoad.onMessage(UNKNOWN_PEER, notice(age, 0, 7));
-    assertEquals(expected, node.seen("e0"));
+    assertEquals(expected, node.estimatedRequests("e0"));
   }
 
   @Test
@@ -201,11 +201,11 @@
     SimulatedRegion region = new SimulatedRegion(0, 1, SimulatedRegion.UNLOADED);
     SimulatedRegion.Node node = region.start(1);
     node.sharedLoad.onMessage(UNKNOWN_PEER, notice(2_500, 0, 9));
-    assertEquals(-1, node.seen("e0"));
+    assertEquals(-1, node.estimatedRequests("e0"));
     node.sharedLoad.onMessage(UNKNOWN_PEER, notice(2_400, 0, 9));
-    assertEquals(9, node.seen("e0"));
+    assertEquals(9, node.estimatedRequests("e0"));
     region.eventLoop.advance(100);
-    assertEquals(-1, node.seen("e0"));
+    assertEquals(-1, node.estimatedRequests("e0"));
   }
 
   @Test
@@ -214,21 +214,25 @@
     SimulatedRegion.Node node = region.start(1);
     node.sharedLoad.onMessage(UNKNOWN_PEER, notice(50, 1_000, 9));
     node.sharedLoad.onMessage(UNKNOWN_PEER, notice(60, 2_000, 1));
-    assertEquals(1, node.seen("e0"), "a later life counts, also when it was told later");
+    assertEquals(
+        1, node.estimatedRequests("e0"), "a later incarnation wins even if its report is older");
     node.sharedLoad.onMessage(UNKNOWN_PEER, notice(10, 1_000, 9));
-    assertEquals(1, node.seen("e0"));
+    assertEquals(1, node.estimatedRequests("e0"));
   }
 
   @Test
   void anEngineWithoutReportsIsQueriedByFewNodesAndRarely() {
     SimulatedRegion region = new SimulatedRegion(40, 0, SimulatedRegion.UNLOADED);
     region.nodes.forEach(node -> node.engines.put(SimulatedRegion.record("tool")));
-    List<String> askers = region.queryingNodes("tool", 29_000);
-    assertTrue(askers.size() <= 5, "asked " + askers);
-    assertEquals(askers.size(), Set.copyOf(askers).size());
+    List<String> queryingNodes = region.queryingNodes("tool", 29_000);
+    assertTrue(queryingNodes.size() <= 5, "queried " + queryingNodes);
+    assertEquals(queryingNodes.size(), Set.copyOf(queryingNodes).size());
     assertTrue(region.queryingNodes("tool", 30_000).size() <= 5);
     SimulatedRegion.Node first =
-        region.nodes.stream().filter(n -> n.name.equals(askers.get(0))).findFirst().orElseThrow();
+        region.nodes.stream()
+            .filter(n -> n.name.equals(queryingNodes.get(0)))
+            .findFirst()
+            .orElseThrow();
     assertTrue(first.events.contains(GatewayEvent.LOAD_REPORT_UNAVAILABLE));
   }
 
@@ -237,9 +241,9 @@
     SimulatedRegion region = new SimulatedRegion(40, 1, SimulatedRegion.LOADED);
     region.reports.silence("e0");
     region.eventLoop.advance(20_000);
-    List<String> askers = region.queryingNodes("e0", 10_000);
-    assertTrue(askers.size() <= 5 * 3, "asked " + askers.size());
-    assertFalse(askers.isEmpty());
+    List<String> queryingNodes = region.queryingNodes("e0", 10_000);
+    assertTrue(queryingNodes.size() <= 5 * 3, "queried " + queryingNodes.size());
+    assertFalse(queryingNodes.isEmpty());
   }
 
   @Test
@@ -273,7 +277,7 @@
     SimulatedRegion.Node late = region.start(77);
     region.eventLoop.advance(3_000);
     assertTrue(
-        region.reports.queries().stream().noneMatch(asked -> asked.node().equals(late.name)));
+        region.reports.queries().stream().noneMatch(query -> query.node().equals(late.name)));
     assertEquals(0, late.metric("engines_reported_here"));
   }
 
@@ -287,7 +291,7 @@
     region.eventLoop.advance(3_000);
     for (SimulatedRegion.Node node : region.nodes) {
       for (int i = 0; i < 10; i++) {
-        assertEquals(19, node.seen("e" + i));
+        assertEquals(19, node.estimatedRequests("e" + i));
       }
     }
   }
@@ -324,12 +328,15 @@
       long sent = node.metric("sent_bytes") - before.get(i);
       assertTrue(sent <= most, node.name + " sent " + sent);
       for (int e = 0; e < 40; e++) {
-        assertEquals(19, node.seen("e" + e), "the view stays in place");
+        assertEquals(19, node.estimatedRequests("e" + e), "the view does not expire");
       }
     }
     for (int e = 0; e < 40; e += 8) {
-      List<String> askers = region.queryingNodes("e" + e, 2_000);
-      assertEquals(1, Set.copyOf(askers).size(), "a longer interval is no silence: " + askers);
+      List<String> queryingNodes = region.queryingNodes("e" + e, 2_000);
+      assertEquals(
+          1,
+          Set.copyOf(queryingNodes).size(),
+          "a longer interval causes no takeover: " + queryingNodes);
     }
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/load/TestLoadView.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/load/TestLoadView.java
@@ -21,20 +21,21 @@
   private final EngineDirectory engines = new EngineDirectory(1);
   private final EventLoopLag lag = new EventLoopLag(TICK_NANOS, eventLoop.nanoTime());
 
-  private long ageMillisOfNotice(long toldAgeMillis, long roundTripMillis) {
+  private long ageMillisOfNotice(long noticeAgeMillis, long roundTripMillis) {
     engines.put(SimulatedRegion.record(ENGINE.value()));
-    LoadView board =
+    LoadView loadView =
         new LoadView(
             engines,
             new RendezvousOrder(SELF, () -> List.of(PEER)),
             peer -> roundTripMillis,
             eventLoop,
             lag);
-    board.onMessage(
+    loadView.onMessage(
         PEER,
         new PeerMessage.EngineLoadNotice(
             List.of(
-                new PeerMessage.ReportedLoad(ENGINE, toldAgeMillis, 0, SimulatedRegion.UNLOADED))));
+                new PeerMessage.ReportedLoad(
+                    ENGINE, noticeAgeMillis, 0, SimulatedRegion.UNLOADED))));
     return engines.find(ENGINE).load().ageNanos(eventLoop.nanoTime()) / 1_000_000;
   }
 
