--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/urgency/ProgramUrgency.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/urgency/ProgramUrgency.java
@@ -5,37 +5,42 @@
 import org.baykeel.gateway.scheduling.StableHash;
 
 /**
- * Ranks requests by how their programs stand against their time, and within a standing by kind.
+ * Ranks requests by the time that their programs have left until their latency target, and within
+ * an urgency level by kind.
  *
- * <p>Programs under way go before those that begin, since only whole programs are of use, and among
- * them those with little time left; a program whose time has passed goes behind all that can still
- * end in theirs. A program gets more urgent by itself as its time runs down, and what is under way
- * is bounded by what was begun, so beginnings are always reached. Within a standing each request of
- * a less urgent kind has one chance in {@value #FAVOURED_ONE_IN}, by a hash of its identifier, to
- * be ranked like the most urgent kind, so that no amount of urgent work keeps a kind out. All
- * requests of a program, its sub-agents' among them, are ranked by the program's time; neither
- * their size nor their tenant's load counts.
+ * <p>Programs in progress rank before programs that start, since only complete programs are useful,
+ * and among them those with little time left rank first. A program that has missed its target ranks
+ * behind all that can still meet theirs. A program becomes more urgent by itself as its time runs
+ * out, and the number of programs in progress is limited by the number of those started, so
+ * programs that start are always served eventually. Within a level one in {@value #PROMOTED_ONE_IN}
+ * requests of a less urgent kind, selected by a hash of the request identifier, is ranked like the
+ * most urgent kind, so that no amount of urgent work starves a kind. All requests of a program,
+ * including those of its sub-agents, are ranked by the program's target; neither their size nor the
+ * load of their tenant counts.
  */
 public final class ProgramUrgency implements Urgency {
   /**
-   * One in so many requests of a less urgent kind is taken for one of the most urgent, so that its
-   * kind is served at least a third as often as the most urgent one of its standing.
+   * One in this many requests of a less urgent kind is ranked like the most urgent kind, so that
+   * its kind is served at least a third as often as the most urgent kind of its level.
    */
   static final int PROMOTED_ONE_IN = 3;
 
-  /** A program with less than this part of its time left is ending. */
+  /** A program with less than this part of its time left is near its target. */
   private static final double NEAR_TARGET_PART = 1.0 / 3;
 
   /**
-   * A program that is new here, but has less than this part of the usual time left, has most likely
-   * begun at another node.
+   * A program that is new to this node but has less than this part of the usual time left has most
+   * likely started at another node.
    */
   private static final double FIRST_TURN_PART = 0.5;
 
-  /** A program is overdue once it has taken so many times the time that it had. */
+  /** A program is overdue once it has taken this multiple of the time that it had. */
   private static final double OVERDUE_FACTOR = 2;
 
-  /** Programs that are remembered; those unheard of for longest go first. */
+  /**
+   * The number of programs that are tracked; the one without a request for the longest time is
+   * evicted first.
+   */
   private static final int MAX_PROGRAMS = 1_024;
 
   private final FinishTargetByRoute latencyTargets = new FinishTargetByRoute();
@@ -50,12 +55,12 @@
       };
 
   /**
-   * A program as it was when a request of it first came here.
+   * A program as it was when a request of it first arrived at this node.
    *
-   * @param firstTurnRequestId the request with which it began; null if it began elsewhere
-   * @param targetMillis the time that it had at its beginning, by estimate if it began elsewhere; 0
+   * @param firstTurnRequestId the request with which it started; null if it started elsewhere
+   * @param targetMillis the time that it had when it started, estimated if it started elsewhere; 0
    *     if not known
-   * @param seenNanos when it was first seen
+   * @param seenNanos when its first request arrived at this node
    */
   private record SeenProgram(String firstTurnRequestId, double targetMillis, long seenNanos) {
     boolean overdue(long nowNanos) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/urgency/RankedRequest.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/urgency/RankedRequest.java
@@ -1,16 +1,17 @@
 package org.baykeel.gateway.urgency;
 
 /**
- * What the rank of a request depends on. Its size is not among it.
+ * The properties of a request that its rank depends on. The size of the request is not one of them.
  *
  * @param requestId identifies the request, also when it is sent again
  * @param route the name of its route
  * @param kindRank the rank of its kind and tenant, 0 being the most urgent
  * @param stream whether it is a stream
- * @param program its program, apart from those of other tenants; null if it has none
- * @param mayBeFirstTurn whether it may be the first turn of its program, by what it says itself
- * @param remainingMillis what is left of its program's time, 0 if that has passed; {@link #ABSENT}
- *     if it did not say
+ * @param program its program, distinct from those of other tenants; null if it has none
+ * @param mayBeFirstTurn whether it may be the first turn of its program, according to the request
+ *     itself
+ * @param remainingMillis the time left until the latency target of its program, in milliseconds; 0
+ *     if the target has passed; {@link #ABSENT} if the request does not carry it
  */
 public record RankedRequest(
     String requestId,
@@ -21,10 +22,10 @@
     boolean mayBeFirstTurn,
     long remainingMillis) {
 
-  /** Stands for a time that a request does not carry. */
+  /** Represents a time that a request does not carry. */
   public static final long ABSENT = -1;
 
-  /** Whether it belongs to a program whose time is known. */
+  /** Returns whether the request belongs to a program whose latency target is known. */
   boolean timed() {
     return program != null && remainingMillis != ABSENT;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/urgency/UrgencyLevel.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/urgency/UrgencyLevel.java
@@ -1,25 +1,29 @@
 package org.baykeel.gateway.urgency;
 
 /**
- * How a request's program stands against its time, the most urgent first. Each standing has a few
- * ranks of its own, in which the more urgent kinds go first; no kind leaves its standing's ranks.
+ * The urgency of a program, from the time left until its latency target, the most urgent first.
+ * Each level has a few ranks of its own, in which the more urgent kinds go first; no kind leaves
+ * the ranks of its level.
  */
 public enum UrgencyLevel {
-  /** Under way, with little of its time left. */
+  /** In progress, with little of its time left. */
   NEAR_TARGET(0, 2),
   /**
-   * Under way. Requests without a program that are no streams are ranked here too: they are whole
-   * with one answer and compete with what programs under way call.
+   * In progress. Requests without a program that are not streams are ranked here too: one response
+   * completes them, and they compete with the calls of programs in progress.
    */
   UNDER_WAY(2, 3),
-  /** Beginning. Streams without a program are ranked here too: they compete with beginnings. */
+  /**
+   * Starting. Streams without a program are ranked here too, since they compete with programs that
+   * start.
+   */
   STARTING(5, 3),
-  /** Its time has passed. */
+  /** It has missed its latency target. */
   LATE(8, 1),
-  /** Its time has passed long ago. */
+  /** It has taken a multiple of the time that it had. */
   OVERDUE(9, 1);
 
-  /** The largest rank that there is. */
+  /** The largest rank. */
   public static final int LEAST_URGENT = 9;
 
   private final int firstRank;
@@ -31,10 +35,10 @@
   }
 
   /**
-   * The rank of a request of this standing.
+   * Returns the rank of a request of this level.
    *
    * @param kindRank the rank of its kind, 0 being the most urgent; kinds beyond the ranks of this
-   *     standing share the last of them
+   *     level share the last of them
    */
   public int rank(int kindRank) {
     return firstRank + Math.max(0, Math.min(kindRank, ranks - 1));
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/urgency/QueueingEngine.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/urgency/QueueingEngine.java
@@ -6,8 +6,8 @@
 import java.util.PriorityQueue;
 
 /**
- * An engine that works on one request at a time and takes the next by rank, then by arrival. What
- * waits past its deadline leaves unserved.
+ * An engine that works on one request at a time and takes the next one by rank, then by arrival. A
+ * request that waits past its deadline is dropped.
  */
 final class QueueingEngine {
   private final PriorityQueue<Waiting> queue =
@@ -24,7 +24,7 @@
     queue.add(new Waiting(rank, arrivals++, deadlineMillis, workMillis, served));
   }
 
-  /** Lets the time come; the clock must go on by one millisecond at a time. */
+  /** Advances the virtual time, which must be done in steps of one millisecond. */
   void advanceTo(long nowMillis) {
     if (running != null && nowMillis >= busyUntilMillis) {
       Waiting ended = running;
@@ -40,7 +40,7 @@
     }
   }
 
-  /** Takes all that waits off the queue, in the order in which it would be served. */
+  /** Removes all waiting requests from the queue, in the order in which they would be served. */
   List<Runnable> drain() {
     List<Runnable> order = new ArrayList<>();
     while (!queue.isEmpty()) {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/urgency/TestProgramUrgency.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/urgency/TestProgramUrgency.java
@@ -16,7 +16,9 @@
   private final ProgramUrgency urgency = new ProgramUrgency();
   private int lastRequest;
 
-  /** An identifier of a request that is ranked by its own kind. */
+  /**
+   * Returns the identifier of a request that is not promoted, so that it is ranked by its own kind.
+   */
   private String unpromotedId() {
     String id = "r" + ++lastRequest;
     return promoted(id) ? unpromotedId() : id;
@@ -26,8 +28,10 @@
     return Math.floorMod(StableHash.of(id), ProgramUrgency.PROMOTED_ONE_IN) == 0;
   }
 
-  private int rank(String id, int kind, String program, boolean mayOpen, long left, long nowMs) {
-    RankedRequest request = new RankedRequest(id, "route", kind, true, program, mayOpen, left);
+  private int rank(
+      String id, int kind, String program, boolean mayBeFirstTurn, long remaining, long nowMs) {
+    RankedRequest request =
+        new RankedRequest(id, "route", kind, true, program, mayBeFirstTurn, remaining);
     return urgency.rankOf(request, nowMs * 1_000_000);
   }
 
@@ -47,10 +51,10 @@
     "2, 0, 9000, 9",
   })
   void aProgramThatStartedHereIsRankedByItsRemainingTime(
-      int kind, long left, long atMillis, int expected) {
-    int opening = rank(unpromotedId(), kind, "p", true, TARGET_MILLIS, 0);
-    assertEquals(5 + Math.min(kind, 2), opening);
-    assertEquals(expected, rank(unpromotedId(), kind, "p", false, left, atMillis));
+      int kind, long remaining, long atMillis, int expected) {
+    int firstTurnRank = rank(unpromotedId(), kind, "p", true, TARGET_MILLIS, 0);
+    assertEquals(5 + Math.min(kind, 2), firstTurnRank);
+    assertEquals(expected, rank(unpromotedId(), kind, "p", false, remaining, atMillis));
   }
 
   @Test
@@ -76,9 +80,9 @@
   @Test
   void subAgentsTakeTheRankOfTheirProgram() {
     rank(unpromotedId(), 1, "p", true, TARGET_MILLIS, 0);
-    int firstLine = rank(unpromotedId(), 1, "p", true, 500, 2_500);
+    int mainAgent = rank(unpromotedId(), 1, "p", true, 500, 2_500);
     int subAgent = rank(unpromotedId(), 1, "p", false, 500, 2_500);
-    assertEquals(firstLine, subAgent);
+    assertEquals(mainAgent, subAgent);
   }
 
   @ParameterizedTest(name = "kind {0}, stream {1}: {2}")
@@ -91,10 +95,10 @@
 
   @ParameterizedTest
   @EnumSource(UrgencyLevel.class)
-  void aLessUrgentKindNeverRanksBeforeAMoreUrgentOneOfTheSameLevel(UrgencyLevel standing) {
+  void aLessUrgentKindNeverRanksBeforeAMoreUrgentOneOfTheSameLevel(UrgencyLevel level) {
     for (int kind = 0; kind < 12; kind++) {
-      assertTrue(standing.rank(kind) <= standing.rank(kind + 1));
-      assertTrue(standing.rank(kind) <= UrgencyLevel.LEAST_URGENT);
+      assertTrue(level.rank(kind) <= level.rank(kind + 1));
+      assertTrue(level.rank(kind) <= UrgencyLevel.LEAST_URGENT);
     }
   }
 
@@ -111,8 +115,8 @@
         IntStream.range(0, 3_000)
             .map(i -> rank("q" + i, 2, "p" + i, true, TARGET_MILLIS, 0))
             .toArray();
-    long favoured = IntStream.of(ranks).filter(rank -> rank == 5).count();
-    assertTrue(favoured > 900 && favoured < 1_100, favoured + " of 3000");
-    assertEquals(3_000 - favoured, IntStream.of(ranks).filter(rank -> rank == 7).count());
+    long promoted = IntStream.of(ranks).filter(rank -> rank == 5).count();
+    assertTrue(promoted > 900 && promoted < 1_100, promoted + " of 3000");
+    assertEquals(3_000 - promoted, IntStream.of(ranks).filter(rank -> rank == 7).count());
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/urgency/TestUrgencyUnderLoad.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/urgency/TestUrgencyUnderLoad.java
@@ -11,8 +11,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One engine that serves 100 requests of usual size a second, and programs of three turns with an
- * aim of a second: what comes to an end, and how often each group of requests is served.
+ * One engine serves 100 requests of usual size per second; programs have three turns and a latency
+ * target of one second. Guards against programs that start but don't finish in time, and against a
+ * group of requests that starves.
  */
 class TestUrgencyUnderLoad {
   private static final long TARGET_MILLIS = 1_000;
@@ -21,7 +22,9 @@
   private static final int TURNS = 3;
   private static final long BURST_MILLIS = 10_000;
 
-  /** The users' gate: a group is served at least a quarter as often as all together. */
+  /**
+   * Requirement of the users: a group is served at least a quarter as often as all groups together.
+   */
   private static final double LEAST_PART = 0.25;
 
   private final ProgramUrgency urgency = new ProgramUrgency();
@@ -34,15 +37,15 @@
   private int programsStartedInTime;
   private int programsInTime;
 
-  /** Programs of a group that begin at random, so many milliseconds apart on average. */
+  /** Programs of a group that start at random with a given mean interval. */
   private record Load(String group, int kind, long everyMillis, long workMillis) {}
 
-  private void program(Load load, String program, long begunMillis, int turn) {
+  private void program(Load load, String program, long startedMillis, int turn) {
     long sentMillis = nowMillis;
-    long left = Math.max(0, begunMillis + TARGET_MILLIS - nowMillis);
+    long remaining = Math.max(0, startedMillis + TARGET_MILLIS - nowMillis);
     RankedRequest request =
         new RankedRequest(
-            program + "." + turn, load.group(), load.kind(), true, program, turn == 0, left);
+            program + "." + turn, load.group(), load.kind(), true, program, turn == 0, remaining);
     int[] counts = servedAndSent.computeIfAbsent(load.group(), name -> new int[2]);
     counts[1]++;
     engine.accept(
@@ -51,12 +54,12 @@
         load.workMillis(),
         () -> {
           counts[0]++;
-          if (turn == 0 && nowMillis <= begunMillis + TARGET_MILLIS / 2) {
+          if (turn == 0 && nowMillis <= startedMillis + TARGET_MILLIS / 2) {
             programsStartedInTime++;
           }
           if (turn + 1 < TURNS) {
-            program(load, program, begunMillis, turn + 1);
-          } else if (nowMillis <= begunMillis + TARGET_MILLIS) {
+            program(load, program, startedMillis, turn + 1);
+          } else if (nowMillis <= startedMillis + TARGET_MILLIS) {
             programsInTime++;
           }
         });
@@ -84,8 +87,8 @@
 
   private double servedOfAll() {
     int served = servedAndSent.values().stream().mapToInt(counts -> counts[0]).sum();
-    int asked = servedAndSent.values().stream().mapToInt(counts -> counts[1]).sum();
-    return (double) served / asked;
+    int sent = servedAndSent.values().stream().mapToInt(counts -> counts[1]).sum();
+    return (double) served / sent;
   }
 
   private void assertNotStarved(String group) {
@@ -107,14 +110,16 @@
     assertEquals(List.of("timely", "late"), order);
   }
 
-  private int rank(String program, String id, boolean mayOpen, long left, long atMillis) {
+  private int rank(
+      String program, String id, boolean mayBeFirstTurn, long remaining, long atMillis) {
     return urgency.rankOf(
-        new RankedRequest(id, "route", 1, true, program, mayOpen, left), atMillis * 1_000_000);
+        new RankedRequest(id, "route", 1, true, program, mayBeFirstTurn, remaining),
+        atMillis * 1_000_000);
   }
 
   /**
-   * Three times what the engine can serve, of one kind. A program whose first turn was served with
-   * half of its time left comes to its end in the rest.
+   * Demand is three times the capacity, of one kind. A program whose first turn was served with
+   * half of its time left must finish in the rest.
    */
   @Test
   void underThreeTimesTheCapacityProgramsThatStartInTimeFinishInTime() {
@@ -126,17 +131,20 @@
         programsInTime + " of " + programsStartedInTime);
   }
 
-  /** Twice what the engine can serve of the most urgent kind, half as much of the least urgent. */
+  /**
+   * Demand of the most urgent kind is twice the capacity; that of the least urgent kind is half of
+   * it.
+   */
   @Test
   void aBurstOfAnUrgentKindForTenSecondsDoesNotStarveALessUrgentOne() {
     loads.add(new Load("urgent", 0, 15, WORK_MILLIS));
-    loads.add(new Load("patient", 2, 60, WORK_MILLIS));
+    loads.add(new Load("ordinary", 2, 60, WORK_MILLIS));
     run();
-    assertNotStarved("patient");
-    assertTrue(served("urgent") >= served("patient"), servedAndSent.toString());
+    assertNotStarved("ordinary");
+    assertTrue(served("urgent") >= served("ordinary"), servedAndSent.toString());
   }
 
-  /** The same with nothing of it under way: single requests without a program. */
+  /** As above without programs in progress: single requests without a program. */
   @Test
   void aBurstOfUrgentSingleRequestsForTenSecondsDoesNotStarveALessUrgentKind() {
     for (; nowMillis < BURST_MILLIS + DEADLINE_MILLIS; nowMillis++) {
@@ -145,11 +153,11 @@
         single("urgent", 0);
       }
       if (nowMillis < BURST_MILLIS && arrivesNow(20)) {
-        single("patient", 2);
+        single("ordinary", 2);
       }
     }
-    assertNotStarved("patient");
-    assertTrue(served("urgent") >= served("patient"));
+    assertNotStarved("ordinary");
+    assertTrue(served("urgent") >= served("ordinary"));
   }
 
   private void single(String group, int kind) {
@@ -165,16 +173,19 @@
         () -> counts[0]++);
   }
 
-  /** One tenant begins eight times as many programs as another of the same rank. */
+  /** One tenant starts eight times as many programs as another of the same rank. */
   @Test
   void aTenantWithEightTimesTheLoadOfAnotherDoesNotStarveIt() {
-    loads.add(new Load("loud", 1, 10, WORK_MILLIS));
-    loads.add(new Load("quiet", 1, 80, WORK_MILLIS));
+    loads.add(new Load("heavy", 1, 10, WORK_MILLIS));
+    loads.add(new Load("light", 1, 80, WORK_MILLIS));
     run();
-    assertNotStarved("quiet");
+    assertNotStarved("light");
   }
 
-  /** Requests of four times the usual work among three times the room of usual ones. */
+  /**
+   * Large requests of four times the usual work among usual ones, at a demand of three times the
+   * capacity.
+   */
   @Test
   void largeRequestsAreServedLikeOthers() {
     loads.add(new Load("usual", 1, 15, WORK_MILLIS));
@@ -183,7 +194,10 @@
     assertNotStarved("large");
   }
 
-  /** Within twice the room, the later turns of a program are served at least like its first. */
+  /**
+   * At twice the capacity, the second turn of a program is served despite the programs that start
+   * after it.
+   */
   @Test
   void aLaterTurnDoesNotWaitForProgramsThatStartAfterIt() {
     loads.add(new Load("one", 1, 15, WORK_MILLIS));
