--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/cordon/CordonPolicy.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/cordon/CordonPolicy.java
@@ -5,11 +5,14 @@
 import org.baykeel.gateway.scheduling.EngineSelector.Criteria;
 import org.baykeel.gateway.scheduling.StableHash;
 
-/** Keeps requests away from zones out of service. */
+/**
+ * Keeps requests away from cordoned zones, except for conversations that may still have their next
+ * turn there.
+ */
 public final class CordonPolicy implements EnginePolicy {
   private final ZoneCordons cordons;
 
-  /** Creates a policy that follows the operator's state. */
+  /** Creates a policy that follows the cordons set by the operator. */
   public CordonPolicy(ZoneCordons cordons) {
     this.cordons = cordons;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/cordon/ZoneCordons.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/cordon/ZoneCordons.java
@@ -9,20 +9,21 @@
 import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
- * The zones to whose engines nothing more is to be sent. New work stays away from the moment at
- * which a cordon is learnt. Lines of turns whose prompts an engine of the zone keeps leave one
- * after the other, each at its next turn, so that the engines elsewhere don't read all prompts at
- * once.
+ * The zones to whose engines nothing more may be sent. New work avoids a zone as soon as this node
+ * learns of its cordon. Conversations whose prompts are cached at an engine of the zone leave one
+ * after the other, each at its next turn, so that the engines of other zones don't prefill all of
+ * their prompts at once.
  *
- * <p>Invariant: nothing goes to a zone later than {@link #PART_OF_BOUND} of the bound after the
- * operator's request was acknowledged. When that was is not known here, but it was after the last
- * proof that all rows were known without this one; the time to leave is counted from that proof,
- * and there is none without a proof.
+ * <p>Invariant: nothing is sent to a zone later than {@link #PART_OF_BOUND} of the bound after the
+ * operator's request was acknowledged. The moment of that acknowledgement is not known here, but it
+ * is after the last proof that all rows were known without this one. The time to leave is therefore
+ * counted from that proof, and there is none without a proof.
  */
 public final class ZoneCordons {
   /**
-   * The part of the bound within which all lines have left. The rest is for requests that are on
-   * their way to an engine, for a slow machine and for a connection that is being made.
+   * The part of the bound within which all conversations have left. The rest is for requests that
+   * are on their way to an engine, for a slow machine and for a connection that is being
+   * established.
    */
   static final double PART_OF_BOUND = 0.5;
 
@@ -35,18 +36,19 @@
   private long provenNanos;
 
   /**
-   * One zone out of service.
+   * One cordoned zone.
    *
-   * @param version of the operator's row
+   * @param version the version of the operator's row
    * @param learntNanos when this node learnt of it
-   * @param drainedNanos when the last line has left
+   * @param drainedNanos when the last conversation has left
    */
   private record Cordon(long version, long learntNanos, long drainedNanos) {}
 
   /**
    * Creates the state of a node that knows of no cordon.
    *
-   * @param boundMillis within which nothing more may reach the engines of a zone
+   * @param boundMillis the time within which nothing more may reach the engines of a zone, in
+   *     milliseconds
    */
   public ZoneCordons(long boundMillis, EventLoop eventLoop, GatewayLog log) {
     this.drainNanos = Math.round(boundMillis * 1e6 * PART_OF_BOUND);
@@ -55,9 +57,9 @@
   }
 
   /**
-   * Notes a proof.
+   * Records a proof that the rows are complete up to a moment.
    *
-   * @param nanos all rows that were acknowledged before this moment have been told
+   * @param nanos all rows that were acknowledged before this moment have been delivered
    */
   public void recordProof(long nanos) {
     if (!everProven || nanos - provenNanos > 0) {
@@ -67,7 +69,7 @@
   }
 
   /**
-   * Adopts the whole list of zones out of service.
+   * Adopts the complete list of cordoned zones.
    *
    * @param versions the version of the operator's row by zone
    */
@@ -78,16 +80,17 @@
     versions.forEach(this::cordon);
   }
 
-  /** The operator takes a zone out of service, or says so again. */
+  /** Handles a row by which the operator cordons a zone. The row may repeat an earlier one. */
   public void cordon(String zone, long version) {
     Cordon known = cordons.get(zone);
     if (known != null && known.version >= version) {
       return;
     }
     long now = eventLoop.nanoTime();
-    // A row written again asks for what is already done; time is given only once.
-    long emptyNanos = known == null ? drainedNanos(now) : known.drainedNanos;
-    cordons.put(zone, new Cordon(version, now, emptyNanos));
+    // A row that is written again repeats a request that is already carried out, so it does not
+    // extend the time to leave.
+    long drainedNanos = known == null ? drainedNanos(now) : known.drainedNanos;
+    cordons.put(zone, new Cordon(version, now, drainedNanos));
     log.write(
         GatewayEvent.ZONE_CORDONED,
         "zone",
@@ -97,14 +100,14 @@
         "proven_ms_ago",
         everProven ? (now - provenNanos) / 1_000_000 : -1,
         "empty_in_ms",
-        (emptyNanos - now) / 1_000_000);
+        (drainedNanos - now) / 1_000_000);
   }
 
   private long drainedNanos(long now) {
     return everProven ? Math.max(now, Math.min(now, provenNanos) + drainNanos) : now;
   }
 
-  /** The operator gives a zone back. */
+  /** Handles the end of a cordon. */
   public void lift(String zone) {
     Cordon known = cordons.remove(zone);
     if (known == null) {
@@ -122,26 +125,26 @@
         (now - known.learntNanos) / 1_000_000);
   }
 
-  /** Whether any zone is out of service. */
+  /** Returns whether any zone is cordoned. */
   public boolean any() {
     return !cordons.isEmpty();
   }
 
-  /** How many zones are out of service. */
+  /** Returns the number of cordoned zones. */
   public int count() {
     return cordons.size();
   }
 
-  /** Whether new work may go to a zone. */
+  /** Returns whether new work may go to a zone. */
   public boolean open(String zone) {
     return cordons.isEmpty() || !cordons.containsKey(zone);
   }
 
   /**
-   * Whether a line of turns whose prompt an engine of a zone keeps may still have its next turn
-   * there.
+   * Returns whether a conversation whose prompt is cached at an engine of a zone may still have its
+   * next turn there.
    *
-   * @param hash a number of the line; lines leave in its order
+   * @param hash a hash of the conversation; conversations leave in its unsigned order
    */
   public boolean openToConversation(String zone, int hash, long nowNanos) {
     Cordon cordon = cordons.get(zone);
@@ -153,7 +156,9 @@
     return nowNanos - cordon.learntNanos < stayNanos;
   }
 
-  /** When a zone was given back last, of this process's clock; nothing if it never was. */
+  /**
+   * Returns when the last cordon of a zone ended, by this process's clock; null if there was none.
+   */
   public Long liftedNanos(String zone) {
     return liftedNanos.get(zone);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/placement/Placement.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/placement/Placement.java
@@ -23,7 +23,7 @@
 import org.baykeel.gateway.topology.Topology;
 import org.baykeel.gateway.warmup.WarmupPolicy;
 
-/** One node's choice of engines and the state behind it. */
+/** The engine selection of one node, with its policies and their state. */
 public final class Placement {
   private final Topology topology;
   private final RoundTrips roundTrips;
@@ -31,14 +31,14 @@
   private final EngineSelector selector;
 
   /**
-   * Creates a placement that knows of no cordon and has measured nothing.
+   * Creates a placement without cordons and without measured round trips.
    *
-   * @param topology where this node and the zones are
+   * @param topology the zones, their regions and the zone of this node
    * @param configuration the configuration in force, or null if none is known
    * @param self this node
-   * @param peers the other nodes; nothing until they have been read
-   * @param random settles ties
-   * @param metrics gets figures of distances, cordons and cold engines
+   * @param peers the other nodes; empty until they have been read
+   * @param random breaks ties
+   * @param metrics receives metrics on round trips, cordons and cold engines
    */
   @SuppressWarnings("ParameterNumber")
   public Placement(
@@ -96,22 +96,22 @@
     }
   }
 
-  /** Where this node and the zones are. */
+  /** Returns the zones, their regions and the zone of this node. */
   public Topology topology() {
     return topology;
   }
 
-  /** How far the zones are. */
+  /** Returns the measured round trips to the zones. */
   public RoundTrips roundTrips() {
     return roundTrips;
   }
 
-  /** The zones out of service. */
+  /** Returns the cordoned zones. */
   public ZoneCordons cordons() {
     return cordons;
   }
 
-  /** Picks engines. */
+  /** Returns the engine selector. */
   public EngineSelector selector() {
     return selector;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/placement/PlacementBounds.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/placement/PlacementBounds.java
@@ -3,9 +3,10 @@
 import org.baykeel.gateway.warmup.ColdBounds;
 
 /**
- * What the operator of the platform promises or asks for.
+ * The limits that the operator of the platform guarantees or requires.
  *
- * @param cordonMillis within which nothing more may reach the engines of a zone out of service
- * @param cold how many requests a cold engine may get
+ * @param cordonMillis the time in milliseconds after which no request may reach the engines of a
+ *     cordoned zone
+ * @param cold the number of requests that a cold engine may get
  */
 public record PlacementBounds(long cordonMillis, ColdBounds cold) {}
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/placement/ResidencyPolicy.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/placement/ResidencyPolicy.java
@@ -8,12 +8,12 @@
 
 /**
  * Keeps requests in the regions to which their route and their tenant are bound. An engine whose
- * region is not known runs no request that is bound.
+ * region is not known runs no bound request.
  */
 final class ResidencyPolicy implements EnginePolicy {
   private final Topology topology;
 
-  /** Creates a policy that knows where zones lie. */
+  /** Creates a policy that uses the regions of a topology. */
   ResidencyPolicy(Topology topology) {
     this.topology = topology;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/placement/package-info.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/placement/package-info.java
@@ -1,2 +1,6 @@
-/** Puts together what decides where requests run: places, cordons, residency and warm-up. */
+/**
+ * Combines the parts that decide where requests run: topology, cordons, residency, warm-up and
+ * memory. {@link org.baykeel.gateway.placement.Placement} holds the state of one node and is
+ * created once at its start.
+ */
 package org.baykeel.gateway.placement;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/residency/Residency.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/residency/Residency.java
@@ -8,8 +8,8 @@
 /**
  * The regions to which a route or a tenant is bound.
  *
- * <p>Invariant: an intersection never allows what one of its parts does not; two bindings without a
- * common region allow none at all, which is not the same as no binding.
+ * <p>Invariant: an intersection never allows a region that one of its parts does not allow. Two
+ * bindings without a common region allow no region at all, which differs from no binding.
  */
 public final class Residency {
   /** No binding. */
@@ -24,25 +24,25 @@
   }
 
   /**
-   * A binding to some regions.
+   * Returns a binding to some regions.
    *
-   * @param regions the regions; an empty list binds to nothing
+   * @param regions the regions; an empty list means no binding
    */
   public static Residency of(List<RegionId> regions) {
     return regions.isEmpty() ? ANY : new Residency(true, Set.copyOf(regions));
   }
 
-  /** Whether there is a binding. */
+  /** Returns whether there is a binding. */
   public boolean bound() {
     return bound;
   }
 
-  /** Whether a request may be in a region. */
+  /** Returns whether a request may be in a region. */
   public boolean allows(RegionId region) {
     return !bound || regions.contains(region);
   }
 
-  /** What both bindings allow. */
+  /** Returns the binding that allows the regions that both bindings allow. */
   public Residency and(Residency other) {
     if (!other.bound) {
       return this;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/warmup/ColdSends.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/warmup/ColdSends.java
@@ -1,10 +1,10 @@
 package org.baykeel.gateway.warmup;
 
-/** When this node sent its latest requests to one cold engine. */
+/** The times of this node's latest requests to one cold engine. */
 final class ColdSends {
   /**
-   * A second, and the time that a connection may take to come up: a request is counted when its
-   * engine is chosen, and the bound counts when it is sent.
+   * One second plus the time that a connection may take to be established: a request is counted
+   * when its engine is selected, but the bound applies to the time when it is sent.
    */
   static final long WINDOW_NANOS = 1_300_000_000L;
 
@@ -28,7 +28,7 @@
     count++;
   }
 
-  /** Requests sent within the window. */
+  /** Returns the number of requests sent within the window. */
   int within(long nowNanos) {
     int within = 0;
     for (int i = 0; i < Math.min(count, sentNanos.length); i++) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/warmup/WarmupPolicy.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/warmup/WarmupPolicy.java
@@ -17,25 +17,28 @@
 import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
- * Spares engines that are cold. While a warm engine takes work, a cold one gets nothing. Where all
- * are cold, each has a few nodes that may send to it, and each of these sends it a few requests.
- * When an engine is warm again, the programs whose home it is come back one after the other over
- * its own time to warm up; so do those of a zone that is given back.
+ * Protects cold engines. As long as a warm engine accepts work, a cold engine gets no requests.
+ * Where all are cold, a few nodes may send to each of them, and each of these nodes sends a few
+ * requests. When an engine is warm again, the programs whose home it is return one after the other
+ * over its warm-up time, and so do those of a zone whose cordon ended.
  *
- * <p>Invariant: within any second the nodes that know an engine to be cold, and of the same peers,
- * send it no more than its bound: at most {@link ColdBounds#nodes} of them send at most {@link
- * ColdBounds#PER_NODE} each. A node that does not know its peers yet sends nothing to a cold
+ * <p>Invariant: within any second the nodes that know an engine to be cold, and that know the same
+ * peers, send it no more than its bound: at most {@link ColdBounds#nodes} of them send at most
+ * {@link ColdBounds#PER_NODE} each. A node that does not know its peers yet sends nothing to a cold
  * engine.
  */
 public final class WarmupPolicy implements EnginePolicy {
   /**
-   * More than any wait at a warm engine, less than what speaks against one that has just failed.
+   * More than any wait at a warm engine, less than the penalty for an engine that has just failed.
    */
   private static final double COLD_PENALTY_MILLIS = 50_000;
 
   private static final long LOG_INTERVAL_NANOS = 1_000_000_000L;
 
-  /** More engines than are cold at a time; those that became cold first are forgotten first. */
+  /**
+   * More engines than are cold at the same time; when it is exceeded, the engine that was added
+   * first is evicted.
+   */
   private static final int MAX_COLD_ENGINES = 4_096;
 
   private final ColdBounds bounds;
@@ -56,7 +59,7 @@
   private long sentWhileCold;
   private long heldBack;
 
-  /** This node's part of one cold engine. */
+  /** This node's state for one cold engine. */
   private static final class ColdEngine {
     private final ColdSends sends = new ColdSends();
     private int peersRanked = -1;
@@ -68,10 +71,10 @@
   /**
    * Creates a policy.
    *
-   * @param services what is known of a service
-   * @param cordons tells when a zone came back
+   * @param services gives the profile of a service, if it is known
+   * @param cordons gives the time when the cordon of a zone ended
    * @param self this node
-   * @param peers the other nodes; nothing until they have been read
+   * @param peers the other nodes; empty until they have been read
    */
   public WarmupPolicy(
       ColdBounds bounds,
@@ -107,7 +110,10 @@
     return engine.cold(nowNanos) ? COLD_PENALTY_MILLIS : 0;
   }
 
-  /** Homes return in the order of the program's hash over the engine's time to warm up. */
+  /**
+   * Lets programs return to their home engine in the order of their hashes over the warm-up time of
+   * the engine.
+   */
   @Override
   public boolean allowsHome(Engine engine, Criteria criteria, long nowNanos) {
     if (engine.cold(nowNanos)) {
@@ -149,7 +155,10 @@
     logOnceASecond(engine, cold, nowNanos);
   }
 
-  /** Whether this node is among those that may send to a cold engine; the same at each node. */
+  /**
+   * Returns whether this node is among those that may send to a cold engine. Nodes that know the
+   * same peers agree on these nodes.
+   */
   private boolean sender(Engine engine, ColdEngine cold) {
     Optional<Collection<PeerAddress>> known = peers.get();
     if (known.isEmpty()) {
@@ -201,12 +210,12 @@
         nodes(engine));
   }
 
-  /** Requests sent to cold engines so far. */
+  /** Returns the number of requests sent to cold engines. */
   public long sentWhileCold() {
     return sentWhileCold;
   }
 
-  /** How often a cold engine was passed over so far. */
+  /** Returns how often a cold engine was not allowed as a candidate. */
   public long heldBack() {
     return heldBack;
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/cordon/TestZoneCordons.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/cordon/TestZoneCordons.java
@@ -26,14 +26,17 @@
     cordons.recordProof(eventLoop.nanoTime());
   }
 
-  /** How many of some lines that are spread evenly may still have a turn in zone a. */
+  /**
+   * Returns how many of 100 conversations with evenly spread hashes may still have a turn in zone
+   * a.
+   */
   private int remainingConversations() {
-    int left = 0;
+    int remaining = 0;
     for (long hash = 0; hash < 100; hash++) {
       int spread = (int) (hash * 0x1_0000_0000L / 100);
-      left += cordons.openToConversation("a", spread, eventLoop.nanoTime()) ? 1 : 0;
+      remaining += cordons.openToConversation("a", spread, eventLoop.nanoTime()) ? 1 : 0;
     }
-    return left;
+    return remaining;
   }
 
   @Test
@@ -51,12 +54,12 @@
     recordProofNow();
     cordons.cordon("a", 7);
     int before = remainingConversations();
-    assertTrue(before >= 99, before + " lines");
+    assertTrue(before >= 99, before + " conversations");
     for (int step = 0; step < 4; step++) {
       eventLoop.advance(DRAIN_MILLIS / 4);
-      int left = remainingConversations();
-      assertTrue(Math.abs(before - left - 25) <= 2, before + " then " + left);
-      before = left;
+      int remaining = remainingConversations();
+      assertTrue(Math.abs(before - remaining - 25) <= 2, before + " then " + remaining);
+      before = remaining;
     }
     assertEquals(0, remainingConversations());
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/placement/TestPlacement.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/placement/TestPlacement.java
@@ -38,7 +38,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Zones out of service, regions, residency and cold engines, in one choice. */
+/** Cordoned zones, regions, residency and cold engines together in one engine selection. */
 class TestPlacement {
   private static final RegionId EAST = new RegionId("east");
   private static final RegionId WEST = new RegionId("west");
@@ -82,9 +82,9 @@
               new SplittableRandom(number),
               new GatewayMetrics(),
               (event, fields) -> {});
-      for (String place : ZONES) {
+      for (String engineZone : ZONES) {
         for (int i = 0; i < ENGINES_PER_ZONE; i++) {
-          engines.put(record(place + '-' + i, place, 0), eventLoop.nanoTime());
+          engines.put(record(engineZone + '-' + i, engineZone, 0), eventLoop.nanoTime());
         }
       }
       placement.cordons().recordProof(eventLoop.nanoTime());
@@ -103,10 +103,10 @@
       return choice == null ? null : choice.engine().record().zone();
     }
 
-    void allCold(long millis) {
-      for (String place : ZONES) {
+    void makeAllCold(long millis) {
+      for (String engineZone : ZONES) {
         for (int i = 0; i < ENGINES_PER_ZONE; i++) {
-          engines.put(record(place + '-' + i, place, millis), eventLoop.nanoTime());
+          engines.put(record(engineZone + '-' + i, engineZone, millis), eventLoop.nanoTime());
         }
       }
     }
@@ -208,7 +208,7 @@
     }
   }
 
-  // Zones out of service.
+  // Cordoned zones.
 
   @Test
   void newWorkAvoidsACordonedZone() {
@@ -340,14 +340,14 @@
     assertTrue(zones.contains("e1"), "warm again");
   }
 
-  /** All engines turn cold under a storm of requests at all nodes, some of which know few peers. */
+  /** All engines turn cold while all nodes send many requests. */
   @ParameterizedTest(name = "{0} nodes")
   @ValueSource(ints = {1, 12, 67, 120})
   void allNodesTogetherKeepTheBoundOfEachColdEngine(int count) {
     for (int i = 0; i < count; i++) {
       node(ZONES.get(i % ZONES.size()));
     }
-    nodes.forEach(node -> node.allCold(5_000));
+    nodes.forEach(node -> node.makeAllCold(5_000));
     Map<String, List<Long>> sends = new HashMap<>();
     int sent = 0;
     for (int step = 0; step < 200; step++) {
@@ -362,7 +362,7 @@
       }
       eventLoop.advance(20);
     }
-    assertTrue(sent > 0, "cold engines serve where no other does");
+    assertTrue(sent > 0, "cold engines run requests if there is no other");
     sends.forEach((engine, times) -> assertTrue(most(times) <= COLD_BOUND, engine + times.size()));
   }
 
@@ -381,7 +381,7 @@
   void aNodeThatDoesNotKnowItsPeersSendsNothingToColdEngines() {
     Node node = node("e1");
     node.peersRead = false;
-    node.allCold(5_000);
+    node.makeAllCold(5_000);
     assertNull(node.choose(turn("p")));
     node.peersRead = true;
     assertNotNull(node.choose(turn("p")));
