--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/EngineLoadView.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/EngineLoadView.java
@@ -6,28 +6,31 @@
 import org.baykeel.gateway.directory.LoadEstimate;
 
 /**
- * What a node knows about the reports of one engine: the last one, and how recently a node that
- * comes before this one told of it.
+ * The reports of one engine as seen by this node: the last report, and how recently a node that
+ * ranks before this one in the engine's rendezvous order published a report.
  */
 final class EngineLoadView {
-  /** An engine is loaded from this part of its memory on. */
-  private static final double LOADED_MEMORY = 0.75;
+  /** The memory share above which an engine counts as loaded. */
+  private static final double LOADED_MEMORY_SHARE = 0.75;
 
-  /** A longer time between two notices is a silence, and not how often a node tells. */
-  private static final long LONGEST_GAP_NANOS = 4_000_000_000L;
+  /**
+   * A longer time between two notices means that a node stopped publishing; it is not the interval
+   * at which the node publishes.
+   */
+  private static final long MAX_NOTICE_INTERVAL_NANOS = 4_000_000_000L;
 
   private final Engine engine;
   private final EngineId id;
-  private EngineLoad told;
-  private long toldNanos;
-  private long heardNanos;
-  private long heardGapNanos;
+  private EngineLoad lastReported;
+  private long reportedNanos;
+  private long precedingNoticeNanos;
+  private long precedingNoticeIntervalNanos;
 
   EngineLoadView(Engine engine, long nowNanos) {
     this.engine = engine;
     this.id = new EngineId(engine.record().id());
-    this.toldNanos = nowNanos;
-    this.heardNanos = nowNanos;
+    this.reportedNanos = nowNanos;
+    this.precedingNoticeNanos = nowNanos;
   }
 
   Engine engine() {
@@ -41,48 +44,56 @@
   /**
    * Adopts a report unless a later one is known.
    *
-   * @return false if it is too old to be of use
+   * @return false if the report is too old to be used
    */
   boolean adopt(LoadReport report, long asOfNanos, long nowNanos) {
     if (nowNanos - asOfNanos >= LoadEstimate.STALE_NANOS) {
       return false;
     }
     if (engine.load().reported(report.load(), asOfNanos)) {
-      told = report.load();
+      lastReported = report.load();
     }
-    toldNanos = nowNanos;
+    reportedNanos = nowNanos;
     return true;
   }
 
-  /** A node that comes before this one has told of the engine. */
-  void heardBefore(long nowNanos) {
-    long gap = nowNanos - heardNanos;
-    heardGapNanos = gap > LONGEST_GAP_NANOS ? 0 : gap;
-    heardNanos = nowNanos;
+  /** Records that a node that ranks before this one published a report of the engine. */
+  void precedingNodeReported(long nowNanos) {
+    long interval = nowNanos - precedingNoticeNanos;
+    precedingNoticeIntervalNanos = interval > MAX_NOTICE_INTERVAL_NANOS ? 0 : interval;
+    precedingNoticeNanos = nowNanos;
   }
 
-  /** For how long no node that comes before this one has told of the engine. */
+  /**
+   * Returns for how long no node that ranks before this one has published a report of the engine.
+   */
   long silenceNanos(long nowNanos) {
-    return nowNanos - heardNanos;
+    return nowNanos - precedingNoticeNanos;
   }
 
-  /** The time between the last two times that such a node told of it; 0 if not known. */
-  long heardGapNanos() {
-    return heardGapNanos;
+  /** Returns the time between the last two such reports in nanoseconds; 0 if it is not known. */
+  long precedingNoticeIntervalNanos() {
+    return precedingNoticeIntervalNanos;
   }
 
-  /** Whether any node has told of it within a time. */
-  boolean toldWithin(long nanos, long nowNanos) {
-    return told != null && nowNanos - toldNanos < nanos;
+  /** Returns whether this node received a report of the engine from any node within a time. */
+  boolean reportedWithin(long nanos, long nowNanos) {
+    return lastReported != null && nowNanos - reportedNanos < nanos;
   }
 
-  /** Whether the last report says that it is loaded. */
-  boolean toldLoaded() {
-    return told != null
-        && loaded(told.waiting() + told.running(), told.waiting(), told.memoryShare());
+  /** Returns whether the engine is loaded according to its last report. */
+  boolean reportedLoaded() {
+    return lastReported != null
+        && loaded(
+            lastReported.waiting() + lastReported.running(),
+            lastReported.waiting(),
+            lastReported.memoryShare());
   }
 
-  /** Whether it is loaded as far as this node knows, its own requests among that. */
+  /**
+   * Returns whether the engine is loaded according to the load estimate, which includes this node's
+   * own requests.
+   */
   boolean estimatedLoaded(long nowNanos) {
     LoadEstimate load = engine.load();
     return loaded(
@@ -92,6 +103,8 @@
   }
 
   private boolean loaded(int requests, int waiting, double memoryShare) {
-    return 2 * requests > engine.record().slots() || waiting > 0 || memoryShare > LOADED_MEMORY;
+    return 2 * requests > engine.record().slots()
+        || waiting > 0
+        || memoryShare > LOADED_MEMORY_SHARE;
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/urgency/ProgramUrgency.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/urgency/ProgramUrgency.java
@@ -5,40 +5,45 @@
 import org.baykeel.gateway.scheduling.StableHash;
 
 /**
- * Ranks requests by how their programs stand against their time, and within a standing by kind.
+ * Ranks requests by the time that their programs have left until their latency target, and within
+ * an urgency level by kind.
  *
- * <p>Programs under way go before those that begin, since only whole programs are of use, and among
- * them those with little time left; a program whose time has passed goes behind all that can still
- * end in theirs. A program gets more urgent by itself as its time runs down, and what is under way
- * is bounded by what was begun, so beginnings are always reached. Within a standing each request of
- * a less urgent kind has one chance in {@value #FAVOURED_ONE_IN}, by a hash of its identifier, to
- * be ranked like the most urgent kind, so that no amount of urgent work keeps a kind out. All
- * requests of a program, its sub-agents' among them, are ranked by the program's time; neither
- * their size nor their tenant's load counts.
+ * <p>Programs in progress rank before programs that start, since only complete programs are useful,
+ * and among them those with little time left rank first. A program that has missed its target ranks
+ * behind all that can still meet theirs. A program becomes more urgent by itself as its time runs
+ * out, and the number of programs in progress is limited by the number of those started, so
+ * programs that start are always served eventually. Within a level one in {@value #PROMOTED_ONE_IN}
+ * requests of a less urgent kind, selected by a hash of the request identifier, is ranked like the
+ * most urgent kind, so that no amount of urgent work starves a kind. All requests of a program,
+ * including those of its sub-agents, are ranked by the program's target; neither their size nor the
+ * load of their tenant counts.
  */
 public final class ProgramUrgency implements Urgency {
   /**
-   * One in so many requests of a less urgent kind is taken for one of the most urgent, so that its
-   * kind is served at least a third as often as the most urgent one of its standing.
+   * One in this many requests of a less urgent kind is ranked like the most urgent kind, so that
+   * its kind is served at least a third as often as the most urgent kind of its level.
    */
-  static final int FAVOURED_ONE_IN = 3;
+  static final int PROMOTED_ONE_IN = 3;
 
-  /** A program with less than this part of its time left is ending. */
-  private static final double ENDING_PART = 1.0 / 3;
+  /** A program with less than this part of its time left is near its target. */
+  private static final double NEAR_TARGET_PART = 1.0 / 3;
 
   /**
-   * A program that is new here, but has less than this part of the usual time left, has most likely
-   * begun at another node.
+   * A program that is new to this node but has less than this part of the usual time left has most
+   * likely started at another node.
    */
-  private static final double OPENING_PART = 0.5;
+  private static final double FIRST_TURN_PART = 0.5;
 
-  /** A program is overdue once it has taken so many times the time that it had. */
-  private static final double OVERDUE_TIMES = 2;
+  /** A program is overdue once it has taken this multiple of the time that it had. */
+  private static final double OVERDUE_FACTOR = 2;
 
-  /** Programs that are remembered; those unheard of for longest go first. */
+  /**
+   * The number of programs that are tracked; the one without a request for the longest time is
+   * evicted first.
+   */
   private static final int MAX_PROGRAMS = 1_024;
 
-  private final FinishTargetByRoute aims = new FinishTargetByRoute();
+  private final FinishTargetByRoute latencyTargets = new FinishTargetByRoute();
   private final Map<String, SeenProgram> programs =
       new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
@@ -50,29 +55,30 @@
       };
 
   /**
-   * A program as it was when a request of it first came here.
+   * A program as it was when a request of it first arrived at this node.
    *
-   * @param openingRequest the request with which it began; null if it began elsewhere
-   * @param aimMillis the time that it had at its beginning, by estimate if it began elsewhere; 0 if
-   *     not known
-   * @param seenNanos when it was first seen
+   * @param firstTurnRequestId the request with which it started; null if it started elsewhere
+   * @param targetMillis the time that it had when it started, estimated if it started elsewhere; 0
+   *     if not known
+   * @param seenNanos when its first request arrived at this node
    */
-  private record SeenProgram(String openingRequest, double aimMillis, long seenNanos) {
+  private record SeenProgram(String firstTurnRequestId, double targetMillis, long seenNanos) {
     boolean overdue(long nowNanos) {
-      return openingRequest != null && (nowNanos - seenNanos) / 1e6 > OVERDUE_TIMES * aimMillis;
+      return firstTurnRequestId != null
+          && (nowNanos - seenNanos) / 1e6 > OVERDUE_FACTOR * targetMillis;
     }
   }
 
   @Override
   public int rankOf(RankedRequest request, long nowNanos) {
-    return standingOf(request, nowNanos).rank(favoured(request) ? 0 : request.kindRank());
+    return levelOf(request, nowNanos).rank(promoted(request) ? 0 : request.kindRank());
   }
 
-  private static boolean favoured(RankedRequest request) {
-    return Math.floorMod(StableHash.of(request.requestId()), FAVOURED_ONE_IN) == 0;
+  private static boolean promoted(RankedRequest request) {
+    return Math.floorMod(StableHash.of(request.requestId()), PROMOTED_ONE_IN) == 0;
   }
 
-  private UrgencyLevel standingOf(RankedRequest request, long nowNanos) {
+  private UrgencyLevel levelOf(RankedRequest request, long nowNanos) {
     if (!request.timed()) {
       return request.stream() ? UrgencyLevel.STARTING : UrgencyLevel.UNDER_WAY;
     }
@@ -84,23 +90,24 @@
     if (request.remainingMillis() == 0) {
       return program.overdue(nowNanos) ? UrgencyLevel.OVERDUE : UrgencyLevel.LATE;
     }
-    if (request.requestId().equals(program.openingRequest())) {
+    if (request.requestId().equals(program.firstTurnRequestId())) {
       return UrgencyLevel.STARTING;
     }
-    return request.remainingMillis() < program.aimMillis() * ENDING_PART
+    return request.remainingMillis() < program.targetMillis() * NEAR_TARGET_PART
         ? UrgencyLevel.NEAR_TARGET
         : UrgencyLevel.UNDER_WAY;
   }
 
   private SeenProgram firstSeen(RankedRequest request, long nowNanos) {
-    long left = request.remainingMillis();
-    double usual = aims.usualMillis(request.route());
-    boolean opening = request.mayBeFirstTurn() && left > 0 && left >= usual * OPENING_PART;
-    if (request.mayBeFirstTurn() && left > 0) {
-      aims.observe(request.route(), left);
+    long remaining = request.remainingMillis();
+    double usualTarget = latencyTargets.usualMillis(request.route());
+    boolean firstTurn =
+        request.mayBeFirstTurn() && remaining > 0 && remaining >= usualTarget * FIRST_TURN_PART;
+    if (request.mayBeFirstTurn() && remaining > 0) {
+      latencyTargets.observe(request.route(), remaining);
     }
-    return opening
-        ? new SeenProgram(request.requestId(), left, nowNanos)
-        : new SeenProgram(null, usual == 0 ? 0 : Math.max(usual, left), nowNanos);
+    return firstTurn
+        ? new SeenProgram(request.requestId(), remaining, nowNanos)
+        : new SeenProgram(null, usualTarget == 0 ? 0 : Math.max(usualTarget, remaining), nowNanos);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/warmup/WarmupPolicy.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/warmup/WarmupPolicy.java
@@ -17,25 +17,28 @@
 import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
- * Spares engines that are cold. While a warm engine takes work, a cold one gets nothing. Where all
- * are cold, each has a few nodes that may send to it, and each of these sends it a few requests.
- * When an engine is warm again, the programs whose home it is come back one after the other over
- * its own time to warm up; so do those of a zone that is given back.
+ * Protects cold engines. As long as a warm engine accepts work, a cold engine gets no requests.
+ * Where all are cold, a few nodes may send to each of them, and each of these nodes sends a few
+ * requests. When an engine is warm again, the programs whose home it is return one after the other
+ * over its warm-up time, and so do those of a zone whose cordon ended.
  *
- * <p>Invariant: within any second the nodes that know an engine to be cold, and of the same peers,
- * send it no more than its bound: at most {@link ColdBounds#nodes} of them send at most {@link
- * ColdBounds#PER_NODE} each. A node that does not know its peers yet sends nothing to a cold
+ * <p>Invariant: within any second the nodes that know an engine to be cold, and that know the same
+ * peers, send it no more than its bound: at most {@link ColdBounds#nodes} of them send at most
+ * {@link ColdBounds#PER_NODE} each. A node that does not know its peers yet sends nothing to a cold
  * engine.
  */
 public final class WarmupPolicy implements EnginePolicy {
   /**
-   * More than any wait at a warm engine, less than what speaks against one that has just failed.
+   * More than any wait at a warm engine, less than the penalty for an engine that has just failed.
    */
   private static final double COLD_PENALTY_MILLIS = 50_000;
 
-  private static final long LOG_NANOS = 1_000_000_000L;
+  private static final long LOG_INTERVAL_NANOS = 1_000_000_000L;
 
-  /** More engines than are cold at a time; those that became cold first are forgotten first. */
+  /**
+   * More engines than are cold at the same time; when it is exceeded, the engine that was added
+   * first is evicted.
+   */
   private static final int MAX_COLD_ENGINES = 4_096;
 
   private final ColdBounds bounds;
@@ -56,7 +59,7 @@
   private long sentWhileCold;
   private long heldBack;
 
-  /** This node's part of one cold engine. */
+  /** This node's state for one cold engine. */
   private static final class ColdEngine {
     private final ColdSends sends = new ColdSends();
     private int peersRanked = -1;
@@ -68,10 +71,10 @@
   /**
    * Creates a policy.
    *
-   * @param services what is known of a service
-   * @param cordons tells when a zone came back
+   * @param services gives the profile of a service, if it is known
+   * @param cordons gives the time when the cordon of a zone ended
    * @param self this node
-   * @param peers the other nodes; nothing until they have been read
+   * @param peers the other nodes; empty until they have been read
    */
   public WarmupPolicy(
       ColdBounds bounds,
@@ -94,7 +97,7 @@
       return true;
     }
     ColdEngine cold = coldEngines.computeIfAbsent(engine.record().id(), id -> new ColdEngine());
-    boolean allowed = sender(engine, cold) && cold.sends.room(nowNanos);
+    boolean allowed = sender(engine, cold) && cold.sends.hasBudget(nowNanos);
     if (!allowed) {
       heldBack++;
       logOnceASecond(engine, cold, nowNanos);
@@ -107,22 +110,26 @@
     return engine.cold(nowNanos) ? COLD_PENALTY_MILLIS : 0;
   }
 
-  /** Homes return in the order of the program's hash over the engine's time to warm up. */
+  /**
+   * Lets programs return to their home engine in the order of their hashes over the warm-up time of
+   * the engine.
+   */
   @Override
   public boolean allowsHome(Engine engine, Criteria criteria, long nowNanos) {
     if (engine.cold(nowNanos)) {
       return false;
     }
-    long backNanos = Math.min(engine.warmNanos(nowNanos), zoneBackNanos(engine, nowNanos));
-    if (backNanos == Long.MAX_VALUE) {
+    long availableNanos =
+        Math.min(engine.warmForNanos(nowNanos), sinceUncordonNanos(engine, nowNanos));
+    if (availableNanos == Long.MAX_VALUE) {
       return true;
     }
     long rampNanos = coldStartMillis(engine) * 1_000_000;
     double part = Integer.toUnsignedLong(StableHash.of(criteria.homeKey())) / 0x1p32;
-    return backNanos >= rampNanos * part;
+    return availableNanos >= rampNanos * part;
   }
 
-  private long zoneBackNanos(Engine engine, long nowNanos) {
+  private long sinceUncordonNanos(Engine engine, long nowNanos) {
     Long lifted = cordons.liftedNanos(engine.record().zone());
     return lifted == null ? Long.MAX_VALUE : nowNanos - lifted;
   }
@@ -148,7 +155,10 @@
     logOnceASecond(engine, cold, nowNanos);
   }
 
-  /** Whether this node is among those that may send to a cold engine; the same at each node. */
+  /**
+   * Returns whether this node is among those that may send to a cold engine. Nodes that know the
+   * same peers agree on these nodes.
+   */
   private boolean sender(Engine engine, ColdEngine cold) {
     Optional<Collection<PeerAddress>> known = peers.get();
     if (known.isEmpty()) {
@@ -156,21 +166,21 @@
     }
     if (cold.peersRanked != known.get().size()) {
       cold.peersRanked = known.get().size();
-      cold.sender = place(engine, known.get()) < nodes(engine);
+      cold.sender = rankOfSelf(engine, known.get()) < nodes(engine);
     }
     return cold.sender;
   }
 
-  private int place(Engine engine, Collection<PeerAddress> others) {
+  private int rankOfSelf(Engine engine, Collection<PeerAddress> others) {
     String id = engine.record().id();
     int own = StableHash.of(self.toString(), id);
-    int before = 0;
+    int preceding = 0;
     for (PeerAddress peer : others) {
       if (StableHash.of(peer.toString(), id) > own) {
-        before++;
+        preceding++;
       }
     }
-    return before;
+    return preceding;
   }
 
   private int nodes(Engine engine) {
@@ -183,7 +193,7 @@
   }
 
   private void logOnceASecond(Engine engine, ColdEngine cold, long nowNanos) {
-    if (cold.logged && nowNanos - cold.loggedNanos < LOG_NANOS) {
+    if (cold.logged && nowNanos - cold.loggedNanos < LOG_INTERVAL_NANOS) {
       return;
     }
     cold.logged = true;
@@ -200,12 +210,12 @@
         nodes(engine));
   }
 
-  /** Requests sent to cold engines so far. */
+  /** Returns the number of requests sent to cold engines. */
   public long sentWhileCold() {
     return sentWhileCold;
   }
 
-  /** How often a cold engine was passed over so far. */
+  /** Returns how often a cold engine was not allowed as a candidate. */
   public long heldBack() {
     return heldBack;
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/EngineSimulation.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/EngineSimulation.java
@@ -17,8 +17,8 @@
 import org.baykeel.gateway.topology.Topology;
 
 /**
- * Engines with places and queues in virtual time, and nodes that send to them by what they observe
- * themselves and by reports of load that reach all of them late.
+ * Engines with slots and queues in virtual time, and nodes that select among them by their own
+ * observations and by load reports that reach all nodes late.
  */
 final class EngineSimulation {
   static final long STEP_MILLIS = 5;
@@ -28,22 +28,22 @@
 
   private final int slots;
   private final double workMillis;
-  private final boolean viewShared;
-  private final List<ModelEngine> engines = new ArrayList<>();
+  private final boolean loadReported;
+  private final List<SimulatedEngine> engines = new ArrayList<>();
   private final List<EngineDirectory> directories = new ArrayList<>();
   private final List<EngineSelector> selectors = new ArrayList<>();
   private final Deque<Report> reports = new ArrayDeque<>();
   private final Random random = new Random(11);
   private long nowMillis = 1_000;
 
-  /** One engine: the requests that it runs and those that wait. */
-  static final class ModelEngine {
+  /** One engine with its running and waiting requests. */
+  static final class SimulatedEngine {
     private final String id;
-    private final List<Work> running = new ArrayList<>();
-    private final Deque<Work> waiting = new ArrayDeque<>();
+    private final List<Request> running = new ArrayList<>();
+    private final Deque<Request> waiting = new ArrayDeque<>();
     private double slowness = 1;
 
-    private ModelEngine(String id) {
+    private SimulatedEngine(String id) {
       this.id = id;
     }
 
@@ -56,30 +56,30 @@
     }
   }
 
-  /** One request: where it came from and what is left of it. */
-  static final class Work {
-    private final Engine seen;
+  /** One request, with the engine it was sent to and its remaining work. */
+  static final class Request {
+    private final Engine engine;
     private final long sentMillis;
-    private double leftMillis;
+    private double remainingMillis;
     private long lastEventMillis;
     private int events;
     private long endedMillis = -1;
 
-    private Work(Engine seen, long sentMillis, double leftMillis) {
-      this.seen = seen;
+    private Request(Engine engine, long sentMillis, double remainingMillis) {
+      this.engine = engine;
       this.sentMillis = sentMillis;
-      this.leftMillis = leftMillis;
+      this.remainingMillis = remainingMillis;
     }
 
     String engineId() {
-      return seen.record().id();
+      return engine.record().id();
     }
 
     long sentMillis() {
       return sentMillis;
     }
 
-    /** The time until it ended; as good as endless if it did not. */
+    /** Returns the time until the request ended; {@link Long#MAX_VALUE} if it did not. */
     long tookMillis() {
       return endedMillis < 0 ? Long.MAX_VALUE : endedMillis - sentMillis;
     }
@@ -90,13 +90,13 @@
   EngineSimulation(int nodes, int count, int slots, double workMillis, boolean viewShared) {
     this.slots = slots;
     this.workMillis = workMillis;
-    this.viewShared = viewShared;
+    this.loadReported = viewShared;
     for (int i = 0; i < count; i++) {
-      engines.add(new ModelEngine("e" + i));
+      engines.add(new SimulatedEngine("e" + i));
     }
     for (int node = 0; node < nodes; node++) {
       EngineDirectory directory = new EngineDirectory(1);
-      for (ModelEngine engine : engines) {
+      for (SimulatedEngine engine : engines) {
         directory.put(new EngineRecord(engine.id, "s", "10.0.0.1", 80, "z", slots, false));
       }
       for (int i = 0; i < 200; i++) {
@@ -119,68 +119,68 @@
         new SplittableRandom(node));
   }
 
-  ModelEngine engine(int index) {
+  SimulatedEngine engine(int index) {
     return engines.get(index);
   }
 
-  /** Gives an engine work that no node knows of. */
-  void load(int index, int requests) {
-    Engine seen = directories.get(0).ofService("s").get(index);
+  /** Adds requests to an engine that no node has sent or observed. */
+  void addUnreportedLoad(int index, int requests) {
+    Engine engine = directories.get(0).ofService("s").get(index);
     for (int i = 0; i < requests; i++) {
-      double left = workMillis * random.nextDouble();
-      engines.get(index).waiting.add(new Work(seen, nowMillis, left));
+      double remainingMillis = workMillis * random.nextDouble();
+      engines.get(index).waiting.add(new Request(engine, nowMillis, remainingMillis));
     }
   }
 
-  /** A request that enters at a random node. */
-  Work send(Criteria criteria) {
+  /** Sends a request from a random node. */
+  Request send(Criteria criteria) {
     int node = random.nextInt(selectors.size());
     long now = nowMillis * 1_000_000;
     Engine chosen = selectors.get(node).choose(criteria, Set.of(), now).engine();
     chosen.requestStarted(now);
-    Work work = new Work(chosen, nowMillis, workMillis);
+    Request work = new Request(chosen, nowMillis, workMillis);
     engines.get(directories.get(node).ofService("s").indexOf(chosen)).waiting.add(work);
     return work;
   }
 
-  /** Lets a step of time pass. */
+  /** Advances the virtual time by one step. */
   void step(boolean streams) {
     nowMillis += STEP_MILLIS;
-    for (ModelEngine engine : engines) {
-      work(engine, streams);
+    for (SimulatedEngine engine : engines) {
+      advance(engine, streams);
     }
-    if (viewShared) {
+    if (loadReported) {
       report();
     }
   }
 
-  private void work(ModelEngine engine, boolean streams) {
-    for (Iterator<Work> each = engine.running.iterator(); each.hasNext(); ) {
-      Work work = each.next();
-      work.leftMillis -= STEP_MILLIS / engine.slowness;
+  private void advance(SimulatedEngine engine, boolean streams) {
+    for (Iterator<Request> each = engine.running.iterator(); each.hasNext(); ) {
+      Request work = each.next();
+      work.remainingMillis -= STEP_MILLIS / engine.slowness;
       if (streams) {
         observeEvents(work);
       }
-      if (work.leftMillis <= 0) {
+      if (work.remainingMillis <= 0) {
         each.remove();
         work.endedMillis = nowMillis;
-        work.seen.requestEnded(work.sentMillis * 1_000_000);
+        work.engine.requestEnded(work.sentMillis * 1_000_000);
       }
     }
     while (engine.running.size() < slots && !engine.waiting.isEmpty()) {
-      Work work = engine.waiting.remove();
+      Request work = engine.waiting.remove();
       work.lastEventMillis = nowMillis;
       engine.running.add(work);
       if (streams) {
-        work.seen.observeWait(nowMillis - work.sentMillis, nowMillis * 1_000_000);
+        work.engine.observeWait(nowMillis - work.sentMillis, nowMillis * 1_000_000);
       }
     }
   }
 
-  private void observeEvents(Work work) {
-    int events = (int) ((workMillis - Math.max(0, work.leftMillis)) * EVENTS / workMillis);
+  private void observeEvents(Request work) {
+    int events = (int) ((workMillis - Math.max(0, work.remainingMillis)) * EVENTS / workMillis);
     if (events > work.events) {
-      work.seen.observeInterEventTime(
+      work.engine.observeInterEventTime(
           (nowMillis - work.lastEventMillis) / (double) (events - work.events));
       work.events = events;
       work.lastEventMillis = nowMillis;
@@ -199,9 +199,9 @@
     while (!reports.isEmpty() && nowMillis - reports.peek().asOfMillis >= LAG_MILLIS) {
       Report report = reports.remove();
       for (EngineDirectory directory : directories) {
-        List<Engine> seen = directory.ofService("s");
-        for (int i = 0; i < seen.size(); i++) {
-          seen.get(i).load().reported(report.loads.get(i), report.asOfMillis * 1_000_000);
+        List<Engine> known = directory.ofService("s");
+        for (int i = 0; i < known.size(); i++) {
+          known.get(i).load().reported(report.loads.get(i), report.asOfMillis * 1_000_000);
         }
       }
     }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestDecisionsScale.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSelectionAcrossEngineTypes.java
@@ -27,21 +27,27 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Decisions follow the engines that are observed; none rests on the engines of one deployment. */
-class TestDecisionsScale {
+/**
+ * Guards against decisions that fit only one type of engine: they must follow the observed
+ * performance of engines of different speed, slots and token rate.
+ */
+class TestSelectionAcrossEngineTypes {
   private static final String SERVICE = "s";
   private static final int OBSERVATIONS = 400;
-  private static final int KEPT_TOKENS = 6_000;
+  private static final int CACHED_TOKENS = 6_000;
   private static final long TARGET_MILLIS = 200;
   private static final List<PromptPart> PROMPT =
-      List.of(new PromptPart("shared", KEPT_TOKENS), new PromptPart("own", 500));
+      List.of(new PromptPart("shared", CACHED_TOKENS), new PromptPart("own", 500));
 
   private final Random random = new Random(7);
   private final EngineDirectory directory = new EngineDirectory(1);
   private final EngineSelector selector = new EngineSelector(directory, "z", random);
 
-  /** Tokens read in a millisecond, places, milliseconds to the first event, between two events. */
-  static Stream<Arguments> modelEngines() {
+  /**
+   * Prefill rate in tokens per millisecond, slots, time to the first event and inter-event time in
+   * milliseconds.
+   */
+  static Stream<Arguments> engineTypes() {
     return Stream.of(10.0, 40.0, 270.0)
         .flatMap(
             speed ->
@@ -58,38 +64,40 @@
     return directory.ofService(SERVICE).get(directory.ofService(SERVICE).size() - 1);
   }
 
-  private void observe(Engine engine, double speed, double firstMillis, double gapMillis) {
+  private void observe(Engine engine, double speed, double firstMillis, double interEventMillis) {
     ServicePerformance performance = engine.performance();
     for (int i = 0; i < OBSERVATIONS; i++) {
-      int unread = random.nextInt(4_000);
-      performance.observeFirstEvent(unread, firstMillis + unread / speed);
-      engine.observeInterEventTime(gapMillis);
+      int uncached = random.nextInt(4_000);
+      performance.observeFirstEvent(uncached, firstMillis + uncached / speed);
+      engine.observeInterEventTime(interEventMillis);
     }
   }
 
   @ParameterizedTest
-  @MethodSource("modelEngines")
-  void speedAndFirstEventAreLearnt(double speed, int slots, double first, double gap) {
+  @MethodSource("engineTypes")
+  void prefillRateAndFirstEventTimeAreLearnt(
+      double speed, int slots, double first, double interEventMillis) {
     Engine engine = engine("e0", slots, "z");
-    observe(engine, speed, first, gap);
+    observe(engine, speed, first, interEventMillis);
     ServicePerformance performance = engine.performance();
     assertEquals(4_000 / speed, performance.prefillMillis(4_000), 400 / speed);
     assertEquals(first, performance.firstEventMillis(), 1 + first * 0.3);
-    assertEquals(gap, performance.interEventMillis(), gap * 0.2);
+    assertEquals(interEventMillis, performance.interEventMillis(), interEventMillis * 0.2);
   }
 
   @ParameterizedTest
-  @MethodSource("modelEngines")
-  void readingAPromptIsNoWait(double speed, int slots, double first, double gap) {
+  @MethodSource("engineTypes")
+  void prefillTimeDoesNotCountAsWait(
+      double speed, int slots, double first, double interEventMillis) {
     Engine engine = engine("e0", slots, "z");
-    observe(engine, speed, first, gap);
+    observe(engine, speed, first, interEventMillis);
     ProgramAdmission admission = admission();
-    List<PromptPart> unread = List.of(new PromptPart("new", 4_000));
-    double waitMillis = first + 4_000 / speed - engine.expectedFirstEventMillis(unread);
+    List<PromptPart> uncached = List.of(new PromptPart("new", 4_000));
+    double waitMillis = first + 4_000 / speed - engine.expectedFirstEventMillis(uncached);
     for (int i = 0; i < 50; i++) {
       admission.observeWait(SERVICE, waitMillis, 0);
     }
-    assertTrue(admission.unrestricted(opening(1, TARGET_MILLIS), 0));
+    assertTrue(admission.unrestricted(request(1, TARGET_MILLIS), 0));
     assertTrue(admission.hasSpareCapacity(SERVICE, TARGET_MILLIS, 0), waitMillis + " ms");
   }
 
@@ -97,33 +105,33 @@
     return new ProgramAdmission(directory, random, AdmissionShares.EVEN, (event, fields) -> {});
   }
 
-  private static AdmissionRequest opening(int rank, long targetMillis) {
+  private static AdmissionRequest request(int rank, long targetMillis) {
     return new AdmissionRequest(
         "kind", rank, Caller.WITHOUT_KEYS, SERVICE, targetMillis, 0, LimitUse.UNKNOWN);
   }
 
   @ParameterizedTest
-  @MethodSource("modelEngines")
-  void aLineLeavesWhatIsKeptOnlyForAWaitThatOutweighsReading(
-      double speed, int slots, double first, double gap) {
-    Engine keeping = engine("e0", slots, "z");
+  @MethodSource("engineTypes")
+  void aConversationLeavesItsCachedPrefixOnlyForAWaitThatExceedsThePrefill(
+      double speed, int slots, double first, double interEventMillis) {
+    Engine cachingEngine = engine("e0", slots, "z");
     Engine other = engine("e1", slots, "z");
-    observe(keeping, speed, first, gap);
-    observe(other, speed, first, gap);
-    keeping.cachedPrefixes().add(PROMPT);
+    observe(cachingEngine, speed, first, interEventMillis);
+    observe(other, speed, first, interEventMillis);
+    cachingEngine.cachedPrefixes().add(PROMPT);
     Criteria criteria = new Criteria(SERVICE, PROMPT, null, true);
-    double readingMillis = KEPT_TOKENS / speed;
-    keeping.observeWait(readingMillis, 0);
+    double prefillMillis = CACHED_TOKENS / speed;
+    cachingEngine.observeWait(prefillMillis, 0);
     assertEquals("e0", selector.select(criteria, Set.of(), 0).record().id());
     for (int i = 0; i < 50; i++) {
-      keeping.observeWait(readingMillis * 20 + 400, 0);
+      cachingEngine.observeWait(prefillMillis * 20 + 400, 0);
     }
     assertEquals("e1", selector.select(criteria, Set.of(), 0).record().id());
   }
 
   @ParameterizedTest
   @ValueSource(ints = {10, 60, 300, 900})
-  void aToolCallLeavesItsZoneOnlyForAWaitThatOutweighsTheWay(int workMillis) {
+  void aToolCallLeavesItsZoneOnlyForAWaitThatExceedsTheRoundTrip(int workMillis) {
     Engine near = engine("near", 6, "z");
     engine("far", 6, "elsewhere");
     for (int i = 0; i < OBSERVATIONS; i++) {
@@ -142,7 +150,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {10, 60, 300, 900})
-  void nodesThatKnowTheSameDoNotAllPickTheSameEngine(int workMillis) {
+  void nodesWithTheSameViewDoNotAllSelectTheSameEngine(int workMillis) {
     for (int i = 0; i < 6; i++) {
       Engine engine = engine("e" + i, 6, "z");
       engine.performance().observeNonStream(workMillis);
@@ -159,19 +167,19 @@
 
   @ParameterizedTest
   @ValueSource(longs = {50, 200, 2_000})
-  void refusalsBeginAtAMultipleOfWhatTheRouteWants(long targetMillis) {
+  void refusalsStartAtAMultipleOfTheRoutesTarget(long targetMillis) {
     ProgramAdmission admission = admission();
     for (int i = 0; i < 100; i++) {
       admission.observeWait(SERVICE, targetMillis * 0.2, 0);
     }
-    assertTrue(admission.unrestricted(opening(1, targetMillis), 0));
+    assertTrue(admission.unrestricted(request(1, targetMillis), 0));
     for (int i = 0; i < 100; i++) {
       admission.observeWait(SERVICE, targetMillis * 2.0, 0);
     }
     for (int rank = 0; rank < 2; rank++) {
       int refused = 0;
       for (int i = 0; i < 20; i++) {
-        refused += admission.decide(opening(rank, targetMillis), "r", "p", 0).admitted() ? 0 : 1;
+        refused += admission.decide(request(rank, targetMillis), "r", "p", 0).admitted() ? 0 : 1;
       }
       assertTrue(refused >= 18, "rank " + rank + " refused " + refused);
     }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSharedLoad.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSelectionByLoadView.java
@@ -16,7 +16,7 @@
 import org.baykeel.gateway.directory.PromptPart;
 import org.baykeel.gateway.residency.Residency;
 import org.baykeel.gateway.scheduling.EngineSelector.Criteria;
-import org.baykeel.gateway.scheduling.EngineSimulation.Work;
+import org.baykeel.gateway.scheduling.EngineSimulation.Request;
 import org.baykeel.gateway.topology.RoundTrips;
 import org.baykeel.gateway.topology.Topology;
 import org.junit.jupiter.api.Test;
@@ -24,8 +24,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Choices by a view of load that all nodes share and that is late. */
-class TestSharedLoad {
+/** Engine selection with a load view that all nodes share and that is delayed. */
+class TestSelectionByLoadView {
   private static final int NODES = 77;
   private static final List<PromptPart> PROMPT = List.of(new PromptPart("own", 500));
   private static final Criteria STREAM = new Criteria("s", PROMPT, null, true);
@@ -33,15 +33,16 @@
   private static final Criteria TOOL = new Criteria("s", List.of(), null, false);
 
   /**
-   * Demand at nine tenths of the room; each engine but one begins with as much waiting as it runs.
+   * Demand is nine tenths of the capacity; each engine but one starts with as many waiting requests
+   * as running ones.
    */
-  @ParameterizedTest(name = "{0} engines of {1} places, work of {2} ms, stream {3}")
+  @ParameterizedTest(name = "{0} engines of {1} slots, work of {2} ms, stream {3}")
   @CsvSource({"31, 32, 1000, true", "31, 16, 400, true", "13, 6, 300, false", "13, 9, 20, false"})
-  void nodesThatAllSeeOneEmptyEngineFillItWithoutCrowdingThere(
+  void nodesThatAllSeeOneEmptyEngineFillItWithoutOverloadingIt(
       int count, int slots, double workMillis, boolean stream) {
     EngineSimulation engines = new EngineSimulation(NODES, count, slots, workMillis, true);
     for (int i = 1; i < count; i++) {
-      engines.load(i, 2 * slots);
+      engines.addUnreportedLoad(i, 2 * slots);
     }
     double perStep = 0.9 * count * slots * EngineSimulation.STEP_MILLIS / workMillis;
     double due = 0;
@@ -55,15 +56,18 @@
       most = Math.max(most, engines.engine(0).requests());
       filled = step == 80 + 200 ? engines.engine(0).requests() : filled;
     }
-    assertTrue(most <= 4 * slots, most + " requests at an engine of " + slots + " places");
-    assertTrue(filled >= slots / 3, filled + " requests at an engine of " + slots + " places");
+    assertTrue(most <= 4 * slots, most + " requests at an engine of " + slots + " slots");
+    assertTrue(filled >= slots / 3, filled + " requests at an engine of " + slots + " slots");
   }
 
-  /** Demand at half of the room; lines of turns with homes; one engine slow from 2 to 8 s. */
+  /**
+   * Demand is half of the capacity; conversations have home engines; one engine is slow from 2 s to
+   * 8 s.
+   */
   @Test
-  void anEngineFourTimesAsSlowForSixSecondsIsLeftAndUsedAgain() {
+  void programsLeaveAnEngineThatIsSlowForSixSecondsAndReturn() {
     EngineSimulation engines = new EngineSimulation(NODES, 9, 16, 400, true);
-    List<Work> sent = new ArrayList<>();
+    List<Request> sent = new ArrayList<>();
     double perStep = 0.5 * 9 * 16 * EngineSimulation.STEP_MILLIS / 400;
     double due = 0;
     int program = 0;
@@ -76,22 +80,24 @@
     }
     assertTrue(inTime(sent, 3_000, 9_000) >= 0.9);
     assertTrue(inTime(sent, 12_000, 16_000) >= 0.95);
-    assertTrue(atFirst(sent, 4_000, 9_000) <= FAIR_SHARE);
-    assertTrue(atFirst(sent, 12_000, 16_000) >= FAIR_SHARE / 2);
+    assertTrue(atFirstEngine(sent, 4_000, 9_000) <= FAIR_SHARE);
+    assertTrue(atFirstEngine(sent, 12_000, 16_000) >= FAIR_SHARE / 2);
   }
 
-  /** The part of the streams sent within a time that end in twice their usual time. */
-  private static double inTime(List<Work> sent, long fromMillis, long toMillis) {
+  /**
+   * Returns the part of the streams sent within a time that took at most twice their usual time.
+   */
+  private static double inTime(List<Request> sent, long fromMillis, long toMillis) {
     return part(sent, fromMillis, toMillis, work -> work.tookMillis() <= 800);
   }
 
-  private static double atFirst(List<Work> sent, long fromMillis, long toMillis) {
+  private static double atFirstEngine(List<Request> sent, long fromMillis, long toMillis) {
     return part(sent, fromMillis, toMillis, work -> work.engineId().equals("e0"));
   }
 
   private static double part(
-      List<Work> sent, long fromMillis, long toMillis, Predicate<Work> counted) {
-    List<Work> within =
+      List<Request> sent, long fromMillis, long toMillis, Predicate<Request> counted) {
+    List<Request> within =
         sent.stream()
             .filter(work -> work.sentMillis() >= fromMillis && work.sentMillis() < toMillis)
             .toList();
@@ -99,11 +105,12 @@
   }
 
   /**
-   * Idle engines, of which one needs half as long again for each event and keeps a short prompt.
+   * Idle engines, one of which takes half as long again for each event and has cached a short
+   * prompt.
    */
   @ParameterizedTest(name = "load known: {0}")
   @ValueSource(booleans = {false, true})
-  void aPaceBelowTheBoundOfSlowEnginesCountsWhereTheLoadIsKnown(boolean known) {
+  void anInterEventTimeBelowTheSlowThresholdCountsOnlyIfTheLoadIsKnown(boolean known) {
     EngineDirectory directory = new EngineDirectory(1);
     for (String id : List.of("slower", "faster")) {
       directory.put(new EngineRecord(id, "s", "10.0.0.1", 80, "z", 8, false));
@@ -121,8 +128,8 @@
     assertEquals(known ? "faster" : "slower", chosen);
   }
 
-  /** Engines with the same reading and pace that differ in the memory that they have left. */
-  @ParameterizedTest(name = "{0} tokens, at most {1} more: {2}")
+  /** Engines with the same prefill rate and inter-event time that differ in their free memory. */
+  @ParameterizedTest(name = "prompt {0} tokens, output at most {1}: {2}")
   @CsvSource({
     "2000, 500, home",
     "6000, 500, roomy",
@@ -130,7 +137,7 @@
     "30000, 500, large",
     "90000, 500, home"
   })
-  void theLargestPromptsGoWhereMemoryIsLeft(int promptTokens, int outputTokens, String expected) {
+  void theLargestPromptsGoWhereMemoryIsFree(int promptTokens, int outputTokens, String expected) {
     EngineDirectory directory = new EngineDirectory(1);
     Topology topology = Topology.ofOneRegion("z");
     EngineSelector selector =
@@ -149,23 +156,26 @@
     assertEquals(expected, selector.select(criteria, Set.of(), 0).record().id());
   }
 
-  /** A tool engine in each of two zones; the one here has work, demand swings to and fro. */
-  @ParameterizedTest(name = "{0} ms there and back, {1} under way here: {2}")
+  /**
+   * One tool engine in each of two zones. The engine in the zone of the node already has requests
+   * in flight.
+   */
+  @ParameterizedTest(name = "round trip {0} ms, {1} in flight here: {2}")
   @CsvSource({"1, 1, here", "1, 5, there", "12, 12, here", "12, 40, there"})
-  void aToolCallPaysTheWayToAnotherZoneAsItWasLearnt(
-      double wayMillis, int underWay, String expected) {
+  void aToolCallToAnotherZoneCostsTheMeasuredRoundTrip(
+      double roundTripMillis, int inFlight, String expected) {
     EngineDirectory directory = new EngineDirectory(1);
     directory.put(new EngineRecord("here", "s", "10.0.0.1", 80, "z", 16, false));
     directory.put(new EngineRecord("there", "s", "10.0.0.2", 80, "other", 16, false));
     for (int i = 0; i < 200; i++) {
       directory.performanceOf("s").observeNonStream(8);
     }
-    for (int i = 0; i < underWay; i++) {
+    for (int i = 0; i < inFlight; i++) {
       directory.find(new EngineId("here")).requestStarted(0);
     }
     Topology topology = Topology.ofOneRegion("z");
     RoundTrips roundTrips = new RoundTrips(topology);
-    roundTrips.observe("other", wayMillis, 0);
+    roundTrips.observe("other", roundTripMillis, 0);
     EngineSelector selector =
         new EngineSelector(directory, topology, roundTrips, List.of(), new SplittableRandom(1));
     assertEquals(expected, selector.select(TOOL, Set.of(), 0).record().id());
