--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmissionDecision.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmissionDecision.java
@@ -17,15 +17,15 @@
     /** Its aim is over before a single turn could end. */
     TOO_LATE("too little time left");
 
-    private final String phrase;
+    private final String description;
 
     Cause(String phrase) {
-      this.phrase = phrase;
+      this.description = phrase;
     }
 
     /** The cause in words. */
-    public String phrase() {
-      return phrase;
+    public String description() {
+      return description;
     }
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmissionLog.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmissionLog.java
@@ -7,25 +7,25 @@
 
 /** Tells of refusals and of changes of shares; of changes at most once a second for each kind. */
 final class AdmissionLog {
-  private static final long SHORTEST_NANOS = 1_000_000_000L;
+  private static final long MIN_INTERVAL_NANOS = 1_000_000_000L;
 
   private final GatewayLog log;
-  private final Map<RouteAdmission, Told> toldByKind = new HashMap<>();
+  private final Map<RouteAdmission, LoggedShare> lastLoggedByRoute = new HashMap<>();
 
-  private record Told(double share, long nanos) {}
+  private record LoggedShare(double share, long nanos) {}
 
   AdmissionLog(GatewayLog log) {
     this.log = log;
   }
 
-  void refused(
-      AdmissionRequest opening,
+  void logRefusal(
+      AdmissionRequest request,
       String requestId,
       String program,
       double share,
       DurationPrediction prediction,
-      ServiceCapacity room,
-      AdmissionDecision judgement) {
+      ServiceCapacity capacity,
+      AdmissionDecision decision) {
     log.write(
         GatewayEvent.PROGRAM_REFUSED,
         "id",
@@ -33,11 +33,11 @@
         "program",
         program,
         "route",
-        opening.kind(),
+        request.route(),
         "tenant",
-        opening.caller().name(),
+        request.caller().name(),
         "cause",
-        judgement.cause(),
+        decision.cause(),
         "share",
         rounded(share),
         "ratio",
@@ -53,32 +53,32 @@
         "turns",
         rounded(prediction.turns()),
         "aim_ms",
-        Math.round(prediction.aimMillis()),
+        Math.round(prediction.finishTargetMillis()),
         "finish_ms",
-        opening.finishMillis(),
+        request.finishMillis(),
         "occupancy",
-        rounded(room.known() ? room.occupancy() : -1),
+        rounded(capacity.known() ? capacity.occupancy() : -1),
         "view_age_ms",
-        room.ageMillis(),
+        capacity.ageMillis(),
         "retry_ms",
-        judgement.retryMillis());
+        decision.retryMillis());
   }
 
-  void shared(RouteAdmission kind, double share, ServiceCapacity room, long nowNanos) {
-    Told told = toldByKind.get(kind);
-    double before = told == null ? 1 : told.share();
-    boolean due = told == null || nowNanos - told.nanos() >= SHORTEST_NANOS;
+  void logShareChange(RouteAdmission route, double share, ServiceCapacity capacity, long nowNanos) {
+    LoggedShare last = lastLoggedByRoute.get(route);
+    double before = last == null ? 1 : last.share();
+    boolean due = last == null || nowNanos - last.nanos() >= MIN_INTERVAL_NANOS;
     if (before == share || !due) {
       return;
     }
-    toldByKind.put(kind, new Told(share, nowNanos));
-    DurationPrediction prediction = kind.prediction();
+    lastLoggedByRoute.put(route, new LoggedShare(share, nowNanos));
+    DurationPrediction prediction = route.prediction();
     log.write(
         GatewayEvent.ADMISSION_CHANGED,
         "route",
-        kind.kind(),
+        route.route(),
         "rank",
-        kind.rank(),
+        route.rank(),
         "from",
         rounded(before),
         "to",
@@ -94,9 +94,9 @@
         "pause_ms",
         Math.round(prediction.pauseMillis()),
         "occupancy",
-        rounded(room.known() ? room.occupancy() : -1),
+        rounded(capacity.known() ? capacity.occupancy() : -1),
         "view_age_ms",
-        room.ageMillis());
+        capacity.ageMillis());
   }
 
   private static double rounded(double value) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmissionRequest.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmissionRequest.java
@@ -6,25 +6,25 @@
 /**
  * The first turn of a program that asks to begin.
  *
- * @param kind what programs like it have in common: the name of their route
+ * @param route what programs like it have in common: the name of their route
  * @param rank how urgent it is; 0 is the most urgent
  * @param caller on whose behalf it runs
  * @param service the service of its turns
- * @param targetMillis the time within which its route wants an answer to begin
+ * @param responseTargetMillis the time within which its route wants an answer to begin
  * @param finishMillis the time left until the whole program should be over; 0 or less if unknown
- * @param use what its tenant asked for lately
+ * @param limitUse what its tenant asked for lately
  */
 public record AdmissionRequest(
-    String kind,
+    String route,
     int rank,
     Caller caller,
     String service,
-    long targetMillis,
+    long responseTargetMillis,
     long finishMillis,
-    LimitUse use) {
+    LimitUse limitUse) {
 
   /** What it competes with for the same room: programs of its kind at its service. */
   String group() {
-    return service + '/' + kind;
+    return service + '/' + route;
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmittedShare.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmittedShare.java
@@ -7,12 +7,12 @@
  */
 final class AdmittedShare {
   /** Some begin always, so that an end of the congestion is seen. */
-  static final double LEAST = 0.05;
+  static final double MIN_SHARE = 0.05;
 
   private double share;
   private double credit;
-  private boolean begun;
-  private long followedNanos;
+  private boolean initialized;
+  private long updatedNanos;
 
   /**
    * Creates a share of nothing decided.
@@ -30,16 +30,16 @@
    * @param target the share that the present load allows
    * @param riseMillis the time from a share of 0 to one of 1
    */
-  void follow(double target, double riseMillis, long nowNanos) {
-    double bounded = Math.max(LEAST, Math.min(1, target));
-    if (begun) {
-      double rise = (nowNanos - followedNanos) / 1e6 / Math.max(1, riseMillis);
+  void update(double target, double riseMillis, long nowNanos) {
+    double bounded = Math.max(MIN_SHARE, Math.min(1, target));
+    if (initialized) {
+      double rise = (nowNanos - updatedNanos) / 1e6 / Math.max(1, riseMillis);
       share = Math.min(bounded, share + rise);
     } else {
       share = bounded;
     }
-    begun = true;
-    followedNanos = nowNanos;
+    initialized = true;
+    updatedNanos = nowNanos;
   }
 
   double share() {
@@ -47,8 +47,8 @@
   }
 
   /** Whether the next program that asks may begin, if this share of them may. */
-  boolean admits(double shareOfThese) {
-    credit += shareOfThese;
+  boolean admitNext(double tenantShare) {
+    credit += tenantShare;
     if (credit < 1) {
       return false;
     }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/DurationPrediction.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/DurationPrediction.java
@@ -9,58 +9,59 @@
  * @param ratio the predicted time in parts of the aim; absent while too little was seen
  * @param slackUse what the program is predicted to take beyond its usual time, in parts of what its
  *     aim leaves beyond it; absent like the ratio
- * @param slowerMillis what the work of a turn takes beyond its usual time
+ * @param excessWorkMillis what the work of a turn takes beyond its usual time
  * @param waitMillis the wait of a turn for a place
  * @param turnMillis a turn, its wait included
  * @param pauseMillis the time between two turns
  * @param turns turns of a program's first line
- * @param aimMillis the time within which programs of its kind should be over
+ * @param finishTargetMillis the time within which programs of its kind should be over
  */
 record DurationPrediction(
     OptionalDouble ratio,
     OptionalDouble slackUse,
-    double slowerMillis,
+    double excessWorkMillis,
     double waitMillis,
     double turnMillis,
     double pauseMillis,
     double turns,
-    double aimMillis) {
+    double finishTargetMillis) {
 
   /** The least that counts as slack, in parts of the aim. */
-  private static final double LEAST_SLACK = 0.25;
+  private static final double MIN_SLACK = 0.25;
 
   static DurationPrediction of(
       ProgramProfile profile,
-      BaselineTimes usual,
+      BaselineTimes baseline,
       ServicePerformance performance,
       double waitMillis,
       long nowNanos) {
     double workMillis = workMillis(performance);
     double pauseMillis = profile.pauseMillis();
     double turns = profile.turnsPerProgram();
-    double aimMillis = profile.aimMillis();
-    double slowerMillis = Math.max(0, workMillis - usual.work(workMillis));
+    double finishTargetMillis = profile.finishTargetMillis();
+    double excessWorkMillis = Math.max(0, workMillis - baseline.work(workMillis));
     OptionalDouble ratio = OptionalDouble.empty();
     OptionalDouble slackUse = OptionalDouble.empty();
-    if (profile.known(nowNanos)) {
-      double usualMillis = time(turns, usual.work(workMillis), usual.pause(pauseMillis));
-      double nowMillis = time(turns, waitMillis + workMillis, pauseMillis);
-      double slack = Math.max(aimMillis * LEAST_SLACK, aimMillis - usualMillis);
-      ratio = OptionalDouble.of(nowMillis / aimMillis);
-      slackUse = OptionalDouble.of(Math.max(0, nowMillis - usualMillis) / slack);
+    if (profile.hasEnoughObservations(nowNanos)) {
+      double baselineMillis =
+          durationMillis(turns, baseline.work(workMillis), baseline.pause(pauseMillis));
+      double predictedMillis = durationMillis(turns, waitMillis + workMillis, pauseMillis);
+      double slack = Math.max(finishTargetMillis * MIN_SLACK, finishTargetMillis - baselineMillis);
+      ratio = OptionalDouble.of(predictedMillis / finishTargetMillis);
+      slackUse = OptionalDouble.of(Math.max(0, predictedMillis - baselineMillis) / slack);
     }
     return new DurationPrediction(
         ratio,
         slackUse,
-        slowerMillis,
+        excessWorkMillis,
         waitMillis,
         waitMillis + workMillis,
         pauseMillis,
         turns,
-        aimMillis);
+        finishTargetMillis);
   }
 
-  private static double time(double turns, double turnMillis, double pauseMillis) {
+  private static double durationMillis(double turns, double turnMillis, double pauseMillis) {
     return turns * turnMillis + (turns - 1) * pauseMillis;
   }
 
@@ -75,16 +76,16 @@
    * A program with less time left than this can't end in its aim: not even a turn of its service
    * would. Kinds whose aim is short against such a turn have shorter turns than it.
    */
-  double leastMillis() {
-    return aimMillis > 0 ? Math.min(turnMillis, aimMillis / 2) : turnMillis;
+  double minRemainingMillis() {
+    return finishTargetMillis > 0 ? Math.min(turnMillis, finishTargetMillis / 2) : turnMillis;
   }
 
   /**
    * The predicted time of a whole program.
    *
-   * @param unknownMillis stands for it while too little was seen
+   * @param defaultMillis stands for it while too little was seen
    */
-  double programMillis(double unknownMillis) {
-    return ratio.isPresent() ? ratio.getAsDouble() * aimMillis : unknownMillis;
+  double programMillis(double defaultMillis) {
+    return ratio.isPresent() ? ratio.getAsDouble() * finishTargetMillis : defaultMillis;
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/LocalWaitEstimate.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/LocalWaitEstimate.java
@@ -8,14 +8,14 @@
   private static final double OBSERVATIONS = 1 / SMOOTHING;
 
   /** Between two requests of a node that gets few of them nothing fades. */
-  private static final double HOLD_NANOS = 300e6;
+  private static final double NO_DECAY_NANOS = 300e6;
 
-  private static final double FADE_NANOS = 500e6;
+  private static final double DECAY_NANOS = 500e6;
 
   /** The ages of requests that wait lie evenly between none and their whole wait. */
-  private static final double WAITS_PER_AGE = 2;
+  private static final double WAIT_PER_MEAN_AGE = 2;
 
-  private double millis;
+  private double smoothedMillis;
   private long observedNanos;
   private int pending;
   private long sumSentNanos;
@@ -27,7 +27,7 @@
   }
 
   /** A request that was sent got its first event, or came to nothing. */
-  void answered(long sentNanos) {
+  void waitEnded(long sentNanos) {
     pending--;
     sumSentNanos -= sentNanos;
   }
@@ -35,7 +35,7 @@
   /** Notes how long a request waited; negative values count as none. */
   void observe(double waitMillis, long nowNanos) {
     double before = observedMillis(nowNanos);
-    millis = before + SMOOTHING * (Math.max(0, waitMillis) - before);
+    smoothedMillis = before + SMOOTHING * (Math.max(0, waitMillis) - before);
     observedNanos = nowNanos;
   }
 
@@ -44,14 +44,14 @@
    * fades out within seconds.
    */
   double observedMillis(long nowNanos) {
-    double fading = Math.max(0, nowNanos - observedNanos - HOLD_NANOS);
-    return millis * Math.exp(-fading / FADE_NANOS);
+    double decayNanos = Math.max(0, nowNanos - observedNanos - NO_DECAY_NANOS);
+    return smoothedMillis * Math.exp(-decayNanos / DECAY_NANOS);
   }
 
   /** The same, with the requests that still wait, in milliseconds. */
-  double presentMillis(long nowNanos) {
+  double currentMillis(long nowNanos) {
     double sumAgeMillis = (pending * nowNanos - sumSentNanos) / 1e6;
-    double sumMillis = observedMillis(nowNanos) * OBSERVATIONS + sumAgeMillis * WAITS_PER_AGE;
+    double sumMillis = observedMillis(nowNanos) * OBSERVATIONS + sumAgeMillis * WAIT_PER_MEAN_AGE;
     return sumMillis / (OBSERVATIONS + pending);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ProgramAdmission.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ProgramAdmission.java
@@ -14,12 +14,12 @@
  */
 public final class ProgramAdmission {
   /** Below this multiple of the wanted first answer engines have time to spare. */
-  private static final double SPARE_TARGETS = 0.5;
+  private static final double SPARE_WAIT_TARGETS = 0.5;
 
   /** The least and the most that refused callers are asked to wait, before it is spread. */
-  private static final double LEAST_RETRY_MILLIS = 300;
+  private static final double MIN_RETRY_MILLIS = 300;
 
-  private static final double MOST_RETRY_MILLIS = 1_333;
+  private static final double MAX_RETRY_MILLIS = 1_333;
 
   private final EngineDirectory engines;
   private final RandomGenerator random;
@@ -61,10 +61,10 @@
    * Whether every program of this kind may begin now, so that nothing is to be decided on a single
    * one.
    */
-  public boolean unrestricted(AdmissionRequest opening, long nowNanos) {
-    boolean unrestricted = share(opening, nowNanos) >= 1;
+  public boolean unrestricted(AdmissionRequest request, long nowNanos) {
+    boolean unrestricted = share(request, nowNanos) >= 1;
     if (unrestricted) {
-      shares.shareOf(opening.group(), 1, opening.use());
+      shares.shareOf(request.group(), 1, request.limitUse());
     }
     return unrestricted;
   }
@@ -76,88 +76,95 @@
    * @param program names it in the log
    */
   public AdmissionDecision decide(
-      AdmissionRequest opening, String requestId, String program, long nowNanos) {
-    double share = share(opening, nowNanos);
+      AdmissionRequest request, String requestId, String program, long nowNanos) {
+    double share = share(request, nowNanos);
     if (share >= 1) {
       return new AdmissionDecision(AdmissionDecision.Cause.ADMITTED, 0);
     }
-    RouteAdmission kind = kind(opening);
-    DurationPrediction prediction = kind.prediction();
-    long left = opening.finishMillis();
+    RouteAdmission routeAdmission = routeAdmission(request);
+    DurationPrediction prediction = routeAdmission.prediction();
+    long remainingMillis = request.finishMillis();
     AdmissionDecision.Cause cause = AdmissionDecision.Cause.NO_ROOM;
-    if (left > 0 && left < prediction.leastMillis()) {
+    if (remainingMillis > 0 && remainingMillis < prediction.minRemainingMillis()) {
       cause = AdmissionDecision.Cause.TOO_LATE;
-    } else if (kind.admits(shares.shareOf(opening.group(), share, opening.use()))) {
+    } else if (routeAdmission.admitNext(
+        shares.shareOf(request.group(), share, request.limitUse()))) {
       return new AdmissionDecision(AdmissionDecision.Cause.ADMITTED, 0);
     }
-    double untilRoomMillis = (1 - share) * kind.programMillis();
+    double untilCapacityMillis = (1 - share) * routeAdmission.programMillis();
     long retryMillis =
-        Math.round(Math.max(LEAST_RETRY_MILLIS, Math.min(MOST_RETRY_MILLIS, untilRoomMillis)));
-    AdmissionDecision refused = new AdmissionDecision(cause, retryDelay.around(retryMillis));
-    log.refused(
-        opening, requestId, program, share, prediction, service(opening.service()).room(), refused);
-    return refused;
-  }
-
-  private double share(AdmissionRequest opening, long nowNanos) {
-    ServiceAdmission service = service(opening.service());
-    RouteAdmission kind = kind(opening);
-    double share = service.share(kind, opening.targetMillis(), nowNanos);
-    log.shared(kind, share, service.room(), nowNanos);
+        Math.round(Math.max(MIN_RETRY_MILLIS, Math.min(MAX_RETRY_MILLIS, untilCapacityMillis)));
+    AdmissionDecision refusal = new AdmissionDecision(cause, retryDelay.jittered(retryMillis));
+    log.logRefusal(
+        request,
+        requestId,
+        program,
+        share,
+        prediction,
+        service(request.service()).capacity(),
+        refusal);
+    return refusal;
+  }
+
+  private double share(AdmissionRequest request, long nowNanos) {
+    ServiceAdmission service = service(request.service());
+    RouteAdmission routeAdmission = routeAdmission(request);
+    double share = service.share(routeAdmission, request.responseTargetMillis(), nowNanos);
+    log.logShareChange(routeAdmission, share, service.capacity(), nowNanos);
     return share;
   }
 
-  private RouteAdmission kind(AdmissionRequest opening) {
-    return service(opening.service()).kind(opening, profile(opening.kind()));
+  private RouteAdmission routeAdmission(AdmissionRequest request) {
+    return service(request.service()).routeAdmission(request, profile(request.route()));
   }
 
   private ServiceAdmission service(String name) {
     return services.computeIfAbsent(name, key -> new ServiceAdmission(key, engines, random));
   }
 
-  private ProgramProfile profile(String kind) {
-    return profiles.computeIfAbsent(kind, key -> new ProgramProfile());
+  private ProgramProfile profile(String route) {
+    return profiles.computeIfAbsent(route, key -> new ProgramProfile());
   }
 
   /** A program began. */
-  public void programOpened(String kind, long finishMillis, long nowNanos) {
-    profile(kind).programOpened(finishMillis, nowNanos);
+  public void programStarted(String route, long finishMillis, long nowNanos) {
+    profile(route).programStarted(finishMillis, nowNanos);
   }
 
   /**
    * A turn of a program's first line came and is served.
    *
-   * @param line identifies its line of turns
+   * @param conversation identifies its line of turns
    */
-  public void turnBegan(String kind, String line, long nowNanos) {
-    ProgramProfile profile = profile(kind);
-    profile.turnBegan(nowNanos);
-    pauses.turnBegan(line, profile, nowNanos);
+  public void turnStarted(String route, String conversation, long nowNanos) {
+    ProgramProfile profile = profile(route);
+    profile.turnStarted(nowNanos);
+    pauses.turnStarted(conversation, profile, nowNanos);
   }
 
   /** Whether this process lately served a turn of a line. */
-  public boolean served(String line) {
-    return pauses.served(line);
+  public boolean servedRecently(String conversation) {
+    return pauses.servedRecently(conversation);
   }
 
   /** A turn that was told to have begun is over. */
-  public void turnEnded(String line, long nowNanos) {
-    pauses.turnEnded(line, nowNanos);
+  public void turnEnded(String conversation, long nowNanos) {
+    pauses.turnEnded(conversation, nowNanos);
   }
 
   /** A line of turns called another service. */
-  public void toolUsed(String line, String service) {
-    pauses.toolUsed(line, service);
+  public void toolCalled(String conversation, String service) {
+    pauses.toolCalled(conversation, service);
   }
 
   /** A request was sent to an engine; {@link #requestAnswered} follows. */
   public void requestSent(String service, long sentNanos) {
-    service(service).ownWait().sent(sentNanos);
+    service(service).localWait().sent(sentNanos);
   }
 
   /** A request that was sent got its first event, or came to nothing. */
-  public void requestAnswered(String service, long sentNanos) {
-    service(service).ownWait().answered(sentNanos);
+  public void requestWaitEnded(String service, long sentNanos) {
+    service(service).localWait().waitEnded(sentNanos);
   }
 
   /**
@@ -172,9 +179,10 @@
   /**
    * Whether engines have time to spare for work that may turn out to be for nothing.
    *
-   * @param targetMillis the time within which the route wants an answer to begin
+   * @param responseTargetMillis the time within which the route wants an answer to begin
    */
-  public boolean hasSpareCapacity(String service, long targetMillis, long nowNanos) {
-    return service(service).ownWait().presentMillis(nowNanos) <= targetMillis * SPARE_TARGETS;
+  public boolean hasSpareCapacity(String service, long responseTargetMillis, long nowNanos) {
+    return service(service).localWait().currentMillis(nowNanos)
+        <= responseTargetMillis * SPARE_WAIT_TARGETS;
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ProgramProfile.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ProgramProfile.java
@@ -12,78 +12,79 @@
  */
 final class ProgramProfile {
   /** Within this time a count loses most of its weight. */
-  private static final double FORGETTING_NANOS = 60e9;
+  private static final double DECAY_NANOS = 60e9;
 
-  private static final double LEAST_OPENINGS = 5;
+  private static final double MIN_STARTS = 5;
 
   /** Weight of one pause; about the last thirty count. */
   private static final double PAUSE_SMOOTHING = 0.033;
 
-  private static final int MOST_TOOLS = 8;
+  private static final int MAX_TOOLS = 8;
 
   /**
    * A program's turns come after its opening, on average by half of its time; openings are counted
    * so much later, else turns would seem few while demand grows. The half is about this part of the
    * aim.
    */
-  private static final double HALF_PROGRAM_PART_OF_AIM = 1.0 / 3;
+  private static final double HALF_DURATION_PART_OF_TARGET = 1.0 / 3;
 
   /** Programs that began and are not counted yet, in the order in which they are. */
-  private final PriorityQueue<Opened> uncounted =
-      new PriorityQueue<>(Comparator.comparingLong(Opened::countNanos));
+  private final PriorityQueue<Start> uncounted =
+      new PriorityQueue<>(Comparator.comparingLong(Start::countNanos));
 
   private final Set<String> toolServices = new HashSet<>();
   private double turns;
-  private double openings;
-  private double aims;
-  private double sumAimMillis;
+  private double starts;
+  private double finishTargets;
+  private double sumFinishTargetMillis;
   private double pauseMillis;
-  private boolean pauseSeen;
-  private boolean begun;
+  private boolean pauseObserved;
+  private boolean initialized;
   private long sinceNanos;
-  private long countedNanos;
+  private long decayedNanos;
 
-  private record Opened(long countNanos, long aimMillis) {}
+  private record Start(long countNanos, long finishTargetMillis) {}
 
   /** A turn of a program's first line began. */
-  void turnBegan(long nowNanos) {
-    fade(nowNanos);
+  void turnStarted(long nowNanos) {
+    decay(nowNanos);
     turns++;
   }
 
   /**
    * A program began.
    *
-   * @param aimMillis the time within which it should be over; 0 or less if unknown
+   * @param finishTargetMillis the time within which it should be over; 0 or less if unknown
    */
-  void programOpened(long aimMillis, long nowNanos) {
-    if (!begun) {
-      fade(nowNanos);
+  void programStarted(long finishTargetMillis, long nowNanos) {
+    if (!initialized) {
+      decay(nowNanos);
     }
-    long halfNanos = Math.round(Math.max(0, aimMillis) * 1e6 * HALF_PROGRAM_PART_OF_AIM);
-    uncounted.add(new Opened(nowNanos + halfNanos, aimMillis));
+    long halfNanos =
+        Math.round(Math.max(0, finishTargetMillis) * 1e6 * HALF_DURATION_PART_OF_TARGET);
+    uncounted.add(new Start(nowNanos + halfNanos, finishTargetMillis));
   }
 
-  private void count(Opened opened) {
-    openings++;
-    if (opened.aimMillis() > 0) {
-      aims++;
-      sumAimMillis += opened.aimMillis();
+  private void count(Start start) {
+    starts++;
+    if (start.finishTargetMillis() > 0) {
+      finishTargets++;
+      sumFinishTargetMillis += start.finishTargetMillis();
     }
   }
 
-  private void fade(long nowNanos) {
-    if (!begun) {
-      begun = true;
+  private void decay(long nowNanos) {
+    if (!initialized) {
+      initialized = true;
       sinceNanos = nowNanos;
     } else {
-      double kept = Math.exp(-(nowNanos - countedNanos) / FORGETTING_NANOS);
-      turns *= kept;
-      openings *= kept;
-      aims *= kept;
-      sumAimMillis *= kept;
+      double factor = Math.exp(-(nowNanos - decayedNanos) / DECAY_NANOS);
+      turns *= factor;
+      starts *= factor;
+      finishTargets *= factor;
+      sumFinishTargetMillis *= factor;
     }
-    countedNanos = nowNanos;
+    decayedNanos = nowNanos;
     while (!uncounted.isEmpty() && nowNanos - uncounted.peek().countNanos() >= 0) {
       count(uncounted.poll());
     }
@@ -91,13 +92,13 @@
 
   /** Notes the time from the end of a turn to the next one of the same line. */
   void observePause(double millis) {
-    pauseMillis = pauseSeen ? pauseMillis + PAUSE_SMOOTHING * (millis - pauseMillis) : millis;
-    pauseSeen = true;
+    pauseMillis = pauseObserved ? pauseMillis + PAUSE_SMOOTHING * (millis - pauseMillis) : millis;
+    pauseObserved = true;
   }
 
   /** A program called an engine of this service between two turns. */
-  void toolUsed(String service) {
-    if (toolServices.size() < MOST_TOOLS) {
+  void toolCalled(String service) {
+    if (toolServices.size() < MAX_TOOLS) {
       toolServices.add(service);
     }
   }
@@ -111,20 +112,20 @@
    * Whether enough was seen to predict by. Before the first programs are over, turns are counted
    * too low against openings.
    */
-  boolean known(long nowNanos) {
-    return openings >= LEAST_OPENINGS
-        && aims >= LEAST_OPENINGS
-        && nowNanos - sinceNanos >= aimMillis() * 1e6;
+  boolean hasEnoughObservations(long nowNanos) {
+    return starts >= MIN_STARTS
+        && finishTargets >= MIN_STARTS
+        && nowNanos - sinceNanos >= finishTargetMillis() * 1e6;
   }
 
   /** Turns of a program's first line; at least 1. */
   double turnsPerProgram() {
-    return openings == 0 ? 1 : Math.max(1, turns / openings);
+    return starts == 0 ? 1 : Math.max(1, turns / starts);
   }
 
   /** The mean time within which programs should be over, in milliseconds. */
-  double aimMillis() {
-    return aims == 0 ? 0 : sumAimMillis / aims;
+  double finishTargetMillis() {
+    return finishTargets == 0 ? 0 : sumFinishTargetMillis / finishTargets;
   }
 
   /** The time between two turns, in milliseconds; 0 before one was seen. */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/RetryDelay.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/RetryDelay.java
@@ -4,7 +4,7 @@
 
 /** Spreads the times after which refused callers are to return, so that they come apart. */
 public final class RetryDelay {
-  private static final double LEAST = 0.5;
+  private static final double MIN_FACTOR = 0.5;
 
   private final RandomGenerator random;
 
@@ -20,9 +20,9 @@
   /**
    * A delay drawn evenly from half to one and a half of a usual one.
    *
-   * @param usualMillis the mean; 0 stands for no advice and stays 0
+   * @param meanMillis the mean; 0 stands for no advice and stays 0
    */
-  public long around(long usualMillis) {
-    return usualMillis <= 0 ? 0 : Math.round(usualMillis * (LEAST + random.nextDouble()));
+  public long jittered(long meanMillis) {
+    return meanMillis <= 0 ? 0 : Math.round(meanMillis * (MIN_FACTOR + random.nextDouble()));
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/RouteAdmission.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/RouteAdmission.java
@@ -5,49 +5,49 @@
 /** What is known and decided of the programs of one kind and rank at one service. */
 final class RouteAdmission {
   /** Where refusals begin, and where only the least share may begin, in parts of the slack. */
-  private static final double SLACK_BEGIN = 0.2;
+  private static final double SLACK_USE_AT_FIRST_REFUSAL = 0.2;
 
-  private static final double SLACK_END = 0.7;
+  private static final double SLACK_USE_AT_MIN_SHARE = 0.7;
 
   /**
    * The same for kinds of which too little was seen: what a turn takes beyond its usual time, in
    * multiples of the wanted first answer.
    */
-  private static final double WAIT_BEGIN = 0.25;
+  private static final double EXCESS_AT_FIRST_REFUSAL = 0.25;
 
-  private static final double WAIT_END = 0.75;
+  private static final double EXCESS_AT_MIN_SHARE = 0.75;
 
   /** Refusals begin so much earlier for each rank below the most urgent. */
-  private static final double EARLIER_PER_RANK = 0.06;
+  private static final double OFFSET_PER_RANK = 0.06;
 
-  private static final double MOST_EARLIER = 0.18;
+  private static final double MAX_RANK_OFFSET = 0.18;
 
   /** The program time of a kind of which too little was seen, in wanted first answers. */
-  private static final double UNKNOWN_PROGRAM_TARGETS = 4;
+  private static final double DEFAULT_PROGRAM_TARGETS = 4;
 
   /** What a node sees of its own is late and of few requests: it counts for so much more. */
-  private static final double UNSEEN_CAUTION = 2;
+  private static final double NO_REPORT_FACTOR = 2;
 
-  private static final long RECENT_NANOS = 5_000_000_000L;
+  private static final long ACTIVE_NANOS = 5_000_000_000L;
 
-  private final String kind;
+  private final String route;
   private final int rank;
   private final ProgramProfile profile;
-  private final BaselineTimes usual = new BaselineTimes();
+  private final BaselineTimes baseline = new BaselineTimes();
   private final AdmittedShare share;
-  private long targetMillis;
-  private long askedNanos;
+  private long responseTargetMillis;
+  private long requestedNanos;
   private DurationPrediction prediction;
 
-  RouteAdmission(String kind, int rank, ProgramProfile profile, double firstCredit) {
-    this.kind = kind;
+  RouteAdmission(String route, int rank, ProgramProfile profile, double firstCredit) {
+    this.route = route;
     this.rank = rank;
     this.profile = profile;
     this.share = new AdmittedShare(firstCredit);
   }
 
-  String kind() {
-    return kind;
+  String route() {
+    return route;
   }
 
   int rank() {
@@ -62,55 +62,60 @@
     return prediction;
   }
 
-  long targetMillis() {
-    return targetMillis;
+  long responseTargetMillis() {
+    return responseTargetMillis;
   }
 
   /** A program of this kind asks to begin. */
-  void asked(long target, long nowNanos) {
-    targetMillis = Math.max(1, target);
-    askedNanos = nowNanos;
+  void onRequest(long responseTarget, long nowNanos) {
+    responseTargetMillis = Math.max(1, responseTarget);
+    requestedNanos = nowNanos;
   }
 
   /** Whether a program of this kind asked lately. */
-  boolean recent(long nowNanos) {
-    return nowNanos - askedNanos < RECENT_NANOS;
+  boolean active(long nowNanos) {
+    return nowNanos - requestedNanos < ACTIVE_NANOS;
   }
 
   /**
    * Adopts the present state of its service.
    *
    * @param waitMillis the wait of a turn for a place
-   * @param viewed whether a recent view of the engines' load tells that places are few
-   * @param room whether there is room for any program
+   * @param loadKnown whether a recent view of the engines' load tells that places are few
+   * @param hasCapacity whether there is room for any program
    */
-  void follow(
+  void update(
       ServicePerformance performance,
       double waitMillis,
-      boolean viewed,
-      boolean room,
+      boolean loadKnown,
+      boolean hasCapacity,
       long nowNanos) {
-    if (room) {
-      usual.observe(DurationPrediction.workMillis(performance), profile.pauseMillis(), nowNanos);
+    if (hasCapacity) {
+      baseline.observe(DurationPrediction.workMillis(performance), profile.pauseMillis(), nowNanos);
     }
-    prediction = DurationPrediction.of(profile, usual, performance, waitMillis, nowNanos);
-    share.follow(room ? 1 : target(viewed), programMillis(), nowNanos);
+    prediction = DurationPrediction.of(profile, baseline, performance, waitMillis, nowNanos);
+    share.update(hasCapacity ? 1 : targetShare(loadKnown), programMillis(), nowNanos);
   }
 
-  private double target(boolean viewed) {
-    double caution = viewed ? 1 : UNSEEN_CAUTION;
-    double earlier = Math.min(MOST_EARLIER, rank * EARLIER_PER_RANK);
+  private double targetShare(boolean loadKnown) {
+    double factor = loadKnown ? 1 : NO_REPORT_FACTOR;
+    double rankOffset = Math.min(MAX_RANK_OFFSET, rank * OFFSET_PER_RANK);
     if (prediction.slackUse().isPresent()) {
-      return between(
-          prediction.slackUse().getAsDouble() * caution + earlier, SLACK_BEGIN, SLACK_END);
+      return shareBetween(
+          prediction.slackUse().getAsDouble() * factor + rankOffset,
+          SLACK_USE_AT_FIRST_REFUSAL,
+          SLACK_USE_AT_MIN_SHARE);
     }
-    double slowerMillis = viewed ? prediction.slowerMillis() : 0;
-    double excessMillis = prediction.waitMillis() * caution + slowerMillis;
-    return between(excessMillis / targetMillis * (1 + earlier), WAIT_BEGIN, WAIT_END);
+    double slowerMillis = loadKnown ? prediction.excessWorkMillis() : 0;
+    double excessMillis = prediction.waitMillis() * factor + slowerMillis;
+    return shareBetween(
+        excessMillis / responseTargetMillis * (1 + rankOffset),
+        EXCESS_AT_FIRST_REFUSAL,
+        EXCESS_AT_MIN_SHARE);
   }
 
-  private static double between(double value, double begin, double full) {
-    return Math.max(0, Math.min(1, (full - value) / (full - begin)));
+  private static double shareBetween(double value, double atFirstRefusal, double atMinShare) {
+    return Math.max(0, Math.min(1, (atMinShare - value) / (atMinShare - atFirstRefusal)));
   }
 
   /** The share that its own prediction allows. */
@@ -119,12 +124,12 @@
   }
 
   /** Whether the next program may begin, if this share of them may. */
-  boolean admits(double shareOfThese) {
-    return share.admits(shareOfThese);
+  boolean admitNext(double tenantShare) {
+    return share.admitNext(tenantShare);
   }
 
   /** The predicted time of a program, in milliseconds. */
   double programMillis() {
-    return prediction.programMillis(targetMillis * UNKNOWN_PROGRAM_TARGETS);
+    return prediction.programMillis(responseTargetMillis * DEFAULT_PROGRAM_TARGETS);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ServiceAdmission.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ServiceAdmission.java
@@ -9,27 +9,27 @@
 /** The kinds of programs whose turns run at one service, and their shares. */
 final class ServiceAdmission {
   /** Below this part of its places in use a service has room for any program. */
-  private static final double ROOMY_OCCUPANCY = 0.7;
+  private static final double SPARE_OCCUPANCY = 0.7;
 
   /** The same where its load is unknown: a wait below this part of the wanted first answer. */
-  private static final double ROOMY_TARGETS = 0.25;
+  private static final double SPARE_WAIT_TARGETS = 0.25;
 
   /** No kind gets less than this part of the share of the most urgent one. */
-  private static final double LEAST_OF_MOST_URGENT = 0.25;
+  private static final double MIN_PART_OF_MOST_URGENT = 0.25;
 
-  private static final long LOOK_EVERY_NANOS = 20_000_000L;
+  private static final long REFRESH_INTERVAL_NANOS = 20_000_000L;
 
   private final String service;
   private final EngineDirectory engines;
   private final RandomGenerator random;
-  private final LocalWaitEstimate ownWait = new LocalWaitEstimate();
-  private final Map<Key, RouteAdmission> kinds = new LinkedHashMap<>();
+  private final LocalWaitEstimate localWait = new LocalWaitEstimate();
+  private final Map<Key, RouteAdmission> routes = new LinkedHashMap<>();
   private final UtilizationTrend trend = new UtilizationTrend();
-  private ServiceCapacity room = ServiceCapacity.UNKNOWN;
-  private boolean looked;
-  private long lookedNanos;
+  private ServiceCapacity capacity = ServiceCapacity.UNKNOWN;
+  private boolean refreshed;
+  private long refreshedNanos;
 
-  private record Key(String kind, int rank) {}
+  private record Key(String route, int rank) {}
 
   ServiceAdmission(String service, EngineDirectory engines, RandomGenerator random) {
     this.service = service;
@@ -37,38 +37,38 @@
     this.random = random;
   }
 
-  LocalWaitEstimate ownWait() {
-    return ownWait;
+  LocalWaitEstimate localWait() {
+    return localWait;
   }
 
-  ServiceCapacity room() {
-    return room;
+  ServiceCapacity capacity() {
+    return capacity;
   }
 
-  RouteAdmission kind(AdmissionRequest opening, ProgramProfile profile) {
-    return kinds.computeIfAbsent(
-        new Key(opening.kind(), opening.rank()),
-        key -> new RouteAdmission(key.kind(), key.rank(), profile, random.nextDouble()));
+  RouteAdmission routeAdmission(AdmissionRequest request, ProgramProfile profile) {
+    return routes.computeIfAbsent(
+        new Key(request.route(), request.rank()),
+        key -> new RouteAdmission(key.route(), key.rank(), profile, random.nextDouble()));
   }
 
   /** Notes how long a request waited at an engine beyond what its prompt explains. */
   void observeWait(double millis, long nowNanos) {
-    ownWait.observe(millis, nowNanos);
-    look(nowNanos);
+    localWait.observe(millis, nowNanos);
+    refreshCapacity(nowNanos);
   }
 
-  private void look(long nowNanos) {
-    if (looked && nowNanos - lookedNanos < LOOK_EVERY_NANOS) {
+  private void refreshCapacity(long nowNanos) {
+    if (refreshed && nowNanos - refreshedNanos < REFRESH_INTERVAL_NANOS) {
       return;
     }
-    looked = true;
-    lookedNanos = nowNanos;
-    ServiceCapacity seen = ServiceCapacity.of(engines.ofService(service), nowNanos);
-    if (seen.known()) {
-      trend.sample(seen.requestsPerPlace(), nowNanos);
-      room = seen.grownBy(trend.growth(seen.ageMillis() * 1e6));
+    refreshed = true;
+    refreshedNanos = nowNanos;
+    ServiceCapacity current = ServiceCapacity.of(engines.ofService(service), nowNanos);
+    if (current.known()) {
+      trend.sample(current.requestsPerSlot(), nowNanos);
+      capacity = current.withGrowth(trend.growth(current.ageMillis() * 1e6));
     } else {
-      room = seen;
+      capacity = current;
     }
   }
 
@@ -76,65 +76,66 @@
    * The share of a kind's programs that may begin now. The shares of the other kinds follow too,
    * since a kind never gets more than a more urgent one.
    */
-  double share(RouteAdmission asking, long targetMillis, long nowNanos) {
-    asking.asked(targetMillis, nowNanos);
-    look(nowNanos);
+  double share(RouteAdmission requesting, long responseTargetMillis, long nowNanos) {
+    requesting.onRequest(responseTargetMillis, nowNanos);
+    refreshCapacity(nowNanos);
     double waitMillis = waitMillis(nowNanos);
     ServicePerformance performance = engines.performanceOf(service);
-    for (RouteAdmission kind : kinds.values()) {
-      if (kind.recent(nowNanos)) {
-        boolean roomy = roomy(kind, nowNanos);
-        kind.follow(performance, waitMillis, room.recent(), roomy, nowNanos);
+    for (RouteAdmission route : routes.values()) {
+      if (route.active(nowNanos)) {
+        boolean hasCapacity = hasSpareCapacity(route, nowNanos);
+        route.update(performance, waitMillis, capacity.recent(), hasCapacity, nowNanos);
       }
     }
-    return roomy(asking, nowNanos) ? 1 : ranked(asking, nowNanos);
+    return hasSpareCapacity(requesting, nowNanos) ? 1 : shareByRank(requesting, nowNanos);
   }
 
   private double waitMillis(long nowNanos) {
-    double own = room.recent() ? ownWait.observedMillis(nowNanos) : ownWait.presentMillis(nowNanos);
+    double own =
+        capacity.recent() ? localWait.observedMillis(nowNanos) : localWait.currentMillis(nowNanos);
     double work = DurationPrediction.workMillis(engines.performanceOf(service));
-    return Math.max(own, room.waitingPerPlace() * work);
+    return Math.max(own, capacity.waitingPerSlot() * work);
   }
 
-  private boolean roomy(RouteAdmission kind, long nowNanos) {
-    boolean here =
-        room.recent()
-            ? room.occupancy() < ROOMY_OCCUPANCY
-            : ownWait.presentMillis(nowNanos)
-                < strictestTargetMillis(kind, nowNanos) * ROOMY_TARGETS;
-    return here && toolsRoomy(kind, nowNanos);
+  private boolean hasSpareCapacity(RouteAdmission route, long nowNanos) {
+    boolean localCapacity =
+        capacity.recent()
+            ? capacity.occupancy() < SPARE_OCCUPANCY
+            : localWait.currentMillis(nowNanos)
+                < lowestTargetMillis(route, nowNanos) * SPARE_WAIT_TARGETS;
+    return localCapacity && toolsHaveSpareCapacity(route, nowNanos);
   }
 
   /** What is no room for a more urgent kind is none for this one. */
-  private long strictestTargetMillis(RouteAdmission kind, long nowNanos) {
-    long strictest = kind.targetMillis();
-    for (RouteAdmission other : kinds.values()) {
-      if (other.recent(nowNanos) && other.rank() <= kind.rank()) {
-        strictest = Math.min(strictest, other.targetMillis());
+  private long lowestTargetMillis(RouteAdmission route, long nowNanos) {
+    long lowest = route.responseTargetMillis();
+    for (RouteAdmission other : routes.values()) {
+      if (other.active(nowNanos) && other.rank() <= route.rank()) {
+        lowest = Math.min(lowest, other.responseTargetMillis());
       }
     }
-    return strictest;
+    return lowest;
   }
 
-  private boolean toolsRoomy(RouteAdmission kind, long nowNanos) {
-    for (String tool : kind.profile().toolServices()) {
-      ServiceCapacity there = ServiceCapacity.of(engines.ofService(tool), nowNanos);
-      if (there.known() && there.occupancy() >= ROOMY_OCCUPANCY) {
+  private boolean toolsHaveSpareCapacity(RouteAdmission route, long nowNanos) {
+    for (String tool : route.profile().toolServices()) {
+      ServiceCapacity toolCapacity = ServiceCapacity.of(engines.ofService(tool), nowNanos);
+      if (toolCapacity.known() && toolCapacity.occupancy() >= SPARE_OCCUPANCY) {
         return false;
       }
     }
     return true;
   }
 
-  private double ranked(RouteAdmission asking, long nowNanos) {
-    double least = asking.ownShare();
-    RouteAdmission mostUrgent = asking;
-    for (RouteAdmission other : kinds.values()) {
-      if (other.recent(nowNanos) && other.rank() <= asking.rank()) {
+  private double shareByRank(RouteAdmission requesting, long nowNanos) {
+    double least = requesting.ownShare();
+    RouteAdmission mostUrgent = requesting;
+    for (RouteAdmission other : routes.values()) {
+      if (other.active(nowNanos) && other.rank() <= requesting.rank()) {
         least = Math.min(least, other.ownShare());
         mostUrgent = other.rank() < mostUrgent.rank() ? other : mostUrgent;
       }
     }
-    return Math.max(least, mostUrgent.ownShare() * LEAST_OF_MOST_URGENT);
+    return Math.max(least, mostUrgent.ownShare() * MIN_PART_OF_MOST_URGENT);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ServiceCapacity.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ServiceCapacity.java
@@ -9,27 +9,27 @@
  * The room of a service, of its engines that take work.
  *
  * @param known whether the load of at least half of their places is known
- * @param requestsPerPlace requests that engines have taken, for each place; above 1 while some wait
+ * @param requestsPerSlot requests that engines have taken, for each place; above 1 while some wait
  * @param memoryShare the part of their memory that is in use
- * @param waitingPerPlace requests that wait for a place, for each place
+ * @param waitingPerSlot requests that wait for a place, for each place
  * @param ageMillis the mean age of the reports that count; -1 if there are none
  */
 record ServiceCapacity(
     boolean known,
-    double requestsPerPlace,
+    double requestsPerSlot,
     double memoryShare,
-    double waitingPerPlace,
+    double waitingPerSlot,
     long ageMillis) {
   static final ServiceCapacity UNKNOWN = new ServiceCapacity(false, 0, 0, 0, -1);
 
   /** Programs that begin on the word of an older report may have filled the service since. */
   private static final long RECENT_MILLIS = 1_000;
 
-  private static final double KNOWN_PART = 0.5;
+  private static final double MIN_KNOWN_PART = 0.5;
 
   static ServiceCapacity of(List<Engine> engines, long nowNanos) {
-    int places = 0;
-    int knownPlaces = 0;
+    int totalSlots = 0;
+    int knownSlots = 0;
     int requests = 0;
     int waiting = 0;
     double usedMemory = 0;
@@ -39,25 +39,25 @@
         continue;
       }
       int slots = Math.max(1, engine.record().slots());
-      places += slots;
+      totalSlots += slots;
       LoadEstimate load = engine.load();
       if (load.known(nowNanos)) {
-        knownPlaces += slots;
+        knownSlots += slots;
         requests += load.requests(nowNanos);
         waiting += load.waiting(slots, nowNanos);
         usedMemory += slots * load.memoryShare(nowNanos);
         sumAgeNanos += (double) slots * load.ageNanos(nowNanos);
       }
     }
-    if (knownPlaces == 0 || knownPlaces < places * KNOWN_PART) {
+    if (knownSlots == 0 || knownSlots < totalSlots * MIN_KNOWN_PART) {
       return UNKNOWN;
     }
     return new ServiceCapacity(
         true,
-        (double) requests / knownPlaces,
-        usedMemory / knownPlaces,
-        (double) waiting / knownPlaces,
-        Math.round(sumAgeNanos / knownPlaces / 1e6));
+        (double) requests / knownSlots,
+        usedMemory / knownSlots,
+        (double) waiting / knownSlots,
+        Math.round(sumAgeNanos / knownSlots / 1e6));
   }
 
   /** Whether it is recent enough to tell of free places. */
@@ -67,7 +67,7 @@
 
   /** Requests for each place, or the part of the memory in use if that is more. */
   double occupancy() {
-    return Math.max(requestsPerPlace, memoryShare);
+    return Math.max(requestsPerSlot, memoryShare);
   }
 
   /**
@@ -75,18 +75,18 @@
    *
    * @param growth further requests for each place, at least 0
    */
-  ServiceCapacity grownBy(double growth) {
-    double grown = requestsPerPlace + growth;
-    double waiting = Math.max(waitingPerPlace + growth - Math.max(0, 1 - requestsPerPlace), 0);
+  ServiceCapacity withGrowth(double growth) {
+    double grown = requestsPerSlot + growth;
+    double waiting = Math.max(waitingPerSlot + growth - Math.max(0, 1 - requestsPerSlot), 0);
     return new ServiceCapacity(
-        known, grown, memoryShare, Math.max(waitingPerPlace, waiting), ageMillis);
+        known, grown, memoryShare, Math.max(waitingPerSlot, waiting), ageMillis);
   }
 
   private static boolean takesWork(Engine engine, long nowNanos) {
-    EngineHealth standing = engine.health(nowNanos);
+    EngineHealth health = engine.health(nowNanos);
     return !engine.record().draining()
         && !engine.removed()
-        && standing != EngineHealth.SUSPECT
-        && standing != EngineHealth.AVOIDED;
+        && health != EngineHealth.SUSPECT
+        && health != EngineHealth.AVOIDED;
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/TurnPauses.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/TurnPauses.java
@@ -5,41 +5,41 @@
 
 /** Measures the time between the turns of lines that this process serves. */
 final class TurnPauses {
-  private static final int MOST_LINES = 1_024;
-  private static final long UNDER_WAY = Long.MIN_VALUE;
+  private static final int MAX_CONVERSATIONS = 1_024;
+  private static final long IN_PROGRESS = Long.MIN_VALUE;
 
-  private final Map<String, Line> lines =
+  private final Map<String, LastTurn> lastTurns =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Line> eldest) {
-          return size() > MOST_LINES;
+        protected boolean removeEldestEntry(Map.Entry<String, LastTurn> eldest) {
+          return size() > MAX_CONVERSATIONS;
         }
       };
 
-  private record Line(ProgramProfile profile, long endedNanos) {}
+  private record LastTurn(ProgramProfile profile, long endedNanos) {}
 
-  void turnBegan(String line, ProgramProfile profile, long nowNanos) {
-    Line last = lines.remove(line);
-    if (last != null && last.endedNanos() != UNDER_WAY) {
+  void turnStarted(String conversation, ProgramProfile profile, long nowNanos) {
+    LastTurn last = lastTurns.remove(conversation);
+    if (last != null && last.endedNanos() != IN_PROGRESS) {
       profile.observePause((nowNanos - last.endedNanos()) / 1e6);
     }
-    lines.put(line, new Line(profile, UNDER_WAY));
+    lastTurns.put(conversation, new LastTurn(profile, IN_PROGRESS));
   }
 
-  boolean served(String line) {
-    return lines.containsKey(line);
+  boolean servedRecently(String conversation) {
+    return lastTurns.containsKey(conversation);
   }
 
-  void turnEnded(String line, long nowNanos) {
-    lines.computeIfPresent(line, (key, last) -> new Line(last.profile(), nowNanos));
+  void turnEnded(String conversation, long nowNanos) {
+    lastTurns.computeIfPresent(conversation, (key, last) -> new LastTurn(last.profile(), nowNanos));
   }
 
-  void toolUsed(String line, String service) {
-    Line last = lines.get(line);
+  void toolCalled(String conversation, String service) {
+    LastTurn last = lastTurns.get(conversation);
     if (last != null) {
-      last.profile().toolUsed(service);
+      last.profile().toolCalled(service);
     }
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/UtilizationTrend.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/UtilizationTrend.java
@@ -10,26 +10,26 @@
   private static final double SLOW_NANOS = 500e6;
 
   /** How long the effect of a decision takes to show, beside the age of what is known. */
-  private static final double AHEAD_NANOS = 1e9;
+  private static final double EFFECT_DELAY_NANOS = 1e9;
 
   /** After a longer time without a sample the trend begins anew. */
-  private static final long LONGEST_GAP_NANOS = 1_500_000_000L;
+  private static final long MAX_SAMPLE_INTERVAL_NANOS = 1_500_000_000L;
 
   private double fast;
   private double slow;
   private long sampledNanos;
-  private boolean begun;
+  private boolean initialized;
 
   /** Notes the present use, in requests for each place. */
-  void sample(double use, long nowNanos) {
-    long gapNanos = nowNanos - sampledNanos;
-    if (!begun || gapNanos > LONGEST_GAP_NANOS) {
-      fast = use;
-      slow = use;
-      begun = true;
+  void sample(double utilization, long nowNanos) {
+    long intervalNanos = nowNanos - sampledNanos;
+    if (!initialized || intervalNanos > MAX_SAMPLE_INTERVAL_NANOS) {
+      fast = utilization;
+      slow = utilization;
+      initialized = true;
     } else {
-      fast += (1 - Math.exp(-gapNanos / FAST_NANOS)) * (use - fast);
-      slow += (1 - Math.exp(-gapNanos / SLOW_NANOS)) * (use - slow);
+      fast += (1 - Math.exp(-intervalNanos / FAST_NANOS)) * (utilization - fast);
+      slow += (1 - Math.exp(-intervalNanos / SLOW_NANOS)) * (utilization - slow);
     }
     sampledNanos = nowNanos;
   }
@@ -41,6 +41,6 @@
    */
   double growth(double ageNanos) {
     double perNano = (fast - slow) / (SLOW_NANOS - FAST_NANOS);
-    return Math.max(0, perNano * (ageNanos + AHEAD_NANOS));
+    return Math.max(0, perNano * (ageNanos + EFFECT_DELAY_NANOS));
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AttemptSequence.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AttemptSequence.java
@@ -23,10 +23,10 @@
   private static final long BUSY_RETRY_MILLIS = 150;
 
   /** The shortest wait after a round of engines that did not take the request. */
-  private static final long SHORTEST_WAIT_MILLIS = 10;
+  private static final long MIN_WAIT_MILLIS = 10;
 
   /** What is kept of a request's time for its work at least, when it waits for room. */
-  private static final long SHORTEST_WORK_MILLIS = 20;
+  private static final long MIN_WORK_MILLIS = 20;
 
   /** Hears what the attempts come to; exactly one of the last three ends them. */
   interface Owner {
@@ -37,7 +37,7 @@
     void onStreamComplete();
 
     /** A whole answer that is not a stream. */
-    void onWholeAnswer(ResponseHead head, byte[] body);
+    void onWholeResponse(ResponseHead head, byte[] body);
 
     /**
      * No attempt follows.
@@ -54,22 +54,22 @@
   private final Owner owner;
   private final EventLoop eventLoop;
   private final Set<String> triedEngines = new HashSet<>();
-  private final WaitQueue roomQueue;
+  private final WaitQueue waitQueue;
   private final EngineSelector.Criteria criteria;
   private final SilenceWatch silenceWatch;
   private byte[] engineBody;
-  private WaitQueue.Ticket roomTicket;
+  private WaitQueue.Ticket waitTicket;
   private EngineAttempt attempt;
   private int sends;
   private int sendsInRound;
   private int runs;
-  private long notBeforeNanos;
-  private boolean turnedAway;
+  private long retryNotBeforeNanos;
+  private boolean anyEngineFull;
   private boolean ended;
 
   AttemptSequence(
       GatewayContext context,
-      WaitQueue roomQueue,
+      WaitQueue waitQueue,
       AuthorizedCall call,
       CallRecord record,
       ResponseRelay relay,
@@ -80,8 +80,8 @@
     this.relay = relay;
     this.owner = owner;
     this.eventLoop = context.eventLoop();
-    this.notBeforeNanos = eventLoop.nanoTime();
-    this.roomQueue = roomQueue;
+    this.retryNotBeforeNanos = eventLoop.nanoTime();
+    this.waitQueue = waitQueue;
     this.criteria = criteria(call);
     this.silenceWatch = new SilenceWatch(eventLoop, call.route(), this::onSilence);
   }
@@ -91,15 +91,15 @@
    *
    * @param body the body for engines
    */
-  void begin(byte[] body) {
+  void start(byte[] body) {
     engineBody = body;
-    if (!roomQueue.anyWaits(roomNeed()) || !waitForRoom()) {
+    if (!waitQueue.hasWaiting(requirement()) || !waitForCapacity()) {
       dispatch();
     }
   }
 
   /** Whether the request was sent or waits for room to be sent. */
-  boolean begun() {
+  boolean started() {
     return engineBody != null;
   }
 
@@ -129,8 +129,8 @@
   /** The request is over: nothing more is sent. */
   void end() {
     ended = true;
-    if (roomTicket != null) {
-      roomTicket.leave();
+    if (waitTicket != null) {
+      waitTicket.leave();
     }
     silenceWatch.end();
   }
@@ -159,12 +159,12 @@
             eventLoop,
             context.admission(),
             this);
-    long remaining = Math.max(1, (call.deadlineNanos() - now) / 1_000_000);
+    long remainingMillis = Math.max(1, (call.deadlineNanos() - now) / 1_000_000);
     attempt.send(
         context.transport(),
         new EngineRequest(
-            call.request(), engineBody, remaining, call.caller(), relay.lastEventId(), rank));
-    relay.readsFrom(this);
+            call.request(), engineBody, remainingMillis, call.caller(), relay.lastEventId(), rank));
+    relay.readFrom(this);
     silenceWatch.sent();
   }
 
@@ -196,10 +196,10 @@
   }
 
   private void onNoEngine() {
-    notBeforeNanos = eventLoop.nanoTime() + SHORTEST_WAIT_MILLIS * 1_000_000;
-    boolean onlyFailures = sendsInRound >= MAX_SENDS && !turnedAway;
-    if (onlyFailures || !waitForRoom()) {
-      onNoRoom();
+    retryNotBeforeNanos = eventLoop.nanoTime() + MIN_WAIT_MILLIS * 1_000_000;
+    boolean onlyFailures = sendsInRound >= MAX_SENDS && !anyEngineFull;
+    if (onlyFailures || !waitForCapacity()) {
+      onNoCapacity();
     }
   }
 
@@ -208,41 +208,44 @@
    *
    * @return false if no engine takes work, or the time for waiting is over
    */
-  private boolean waitForRoom() {
-    long nextPlaceNanos = nextPlaceNanos();
+  private boolean waitForCapacity() {
+    long nextCapacityNanos = nextCapacityNanos();
     long giveUpNanos = giveUpNanos();
-    if (nextPlaceNanos == Long.MAX_VALUE || nextPlaceNanos - giveUpNanos >= 0) {
+    if (nextCapacityNanos == Long.MAX_VALUE || nextCapacityNanos - giveUpNanos >= 0) {
       return false;
     }
-    roomTicket = roomQueue.join(roomNeed(), hasAim(), dueNanos(), giveUpNanos, this);
+    waitTicket = waitQueue.add(requirement(), canMeetTarget(), dueNanos(), giveUpNanos, this);
     return true;
   }
 
   @Override
-  public long nextPlaceNanos() {
+  public long nextCapacityNanos() {
     long now = eventLoop.nanoTime();
-    long nextPlaceNanos = context.selector().nextCapacityNanos(criteria, triedEngines, now);
-    return Math.max(nextPlaceNanos, notBeforeNanos);
+    long nextCapacityNanos = context.selector().nextCapacityNanos(criteria, triedEngines, now);
+    return Math.max(nextCapacityNanos, retryNotBeforeNanos);
   }
 
-  private WaitQueue.Need roomNeed() {
-    return new WaitQueue.Need(call.service(), call.residency(), call.route().repeatable());
+  private WaitQueue.Requirement requirement() {
+    return new WaitQueue.Requirement(call.service(), call.residency(), call.route().repeatable());
   }
 
   /** Whether the request came early enough to end before its program is to be over. */
-  private boolean hasAim() {
+  private boolean canMeetTarget() {
     return call.attributes().finishMillis() > workMillis();
   }
 
   /** The usual time of its work. */
   private double workMillis() {
-    return Math.max(SHORTEST_WORK_MILLIS, context.selector().usualResponseMillis(criteria));
+    return Math.max(MIN_WORK_MILLIS, context.selector().usualResponseMillis(criteria));
   }
 
   /** When the program is to be over or the caller no longer waits, whichever is first. */
   private long dueNanos() {
-    long aimNanos = call.request().receivedNanos() + call.attributes().finishMillis() * 1_000_000;
-    return hasAim() ? Math.min(aimNanos, call.deadlineNanos()) : call.deadlineNanos();
+    long finishTargetNanos =
+        call.request().receivedNanos() + call.attributes().finishMillis() * 1_000_000;
+    return canMeetTarget()
+        ? Math.min(finishTargetNanos, call.deadlineNanos())
+        : call.deadlineNanos();
   }
 
   /**
@@ -251,12 +254,12 @@
    * in what is left of the program's aim.
    */
   private long giveUpNanos() {
-    long endNanos = call.route().repeatable() ? dueNanos() : call.deadlineNanos();
-    return endNanos - Math.round(workMillis() * 1e6);
+    long limitNanos = call.route().repeatable() ? dueNanos() : call.deadlineNanos();
+    return limitNanos - Math.round(workMillis() * 1e6);
   }
 
-  private void onNoRoom() {
-    if (relay.begun() || runs > 0) {
+  private void onNoCapacity() {
+    if (relay.headSent() || runs > 0) {
       owner.onAttemptsFailed(ErrorKind.BACKEND_FAILED, 0, "no engine left");
     } else {
       failWithoutEngine();
@@ -271,16 +274,16 @@
   }
 
   @Override
-  public void onPlaceExpected() {
+  public void onCapacityExpected() {
     triedEngines.clear();
-    turnedAway = false;
+    anyEngineFull = false;
     sendsInRound = 0;
     dispatch();
   }
 
   @Override
   public void onWaitTooLong() {
-    onNoRoom();
+    onNoCapacity();
   }
 
   private void onSilence() {
@@ -297,33 +300,33 @@
   }
 
   private void endAttempt(String outcome) {
-    EngineAttempt over = attempt;
+    EngineAttempt finished = attempt;
     attempt = null;
-    over.close();
-    roomQueue.onPlaceFree(roomNeed());
+    finished.close();
+    waitQueue.onSlotFree(requirement());
     if (!outcome.equals("complete")) {
-      record.attemptEnded(over, outcome, relay.eventsPassed());
+      record.attemptEnded(finished, outcome, relay.eventsSent());
     }
   }
 
   @Override
-  public int waitingForRoom() {
-    return roomQueue.waiting(roomNeed());
+  public int waitingForCapacity() {
+    return waitQueue.waiting(requirement());
   }
 
   @Override
   public void onAttemptProgress() {
-    silenceWatch.heard();
+    silenceWatch.dataReceived();
   }
 
   @Override
   public void onStreamHead(ResponseHead head) {
-    relay.head(head);
+    relay.setHead(head);
   }
 
   @Override
   public void onStreamEvent(StreamEvent event) {
-    silenceWatch.event();
+    silenceWatch.eventReceived();
     owner.onStreamEvent(event);
   }
 
@@ -338,7 +341,7 @@
     runs--;
     if (reason == EngineAttempt.NotRun.FULL) {
       // It may be asked again once it is expected to have a place.
-      turnedAway = true;
+      anyEngineFull = true;
       triedEngines.remove(attempt.engine().record().id());
     }
     endAttempt(outcome);
@@ -359,8 +362,8 @@
   }
 
   @Override
-  public void onWholeAnswer(ResponseHead head, byte[] body) {
-    if (relay.begun()) {
+  public void onWholeResponse(ResponseHead head, byte[] body) {
+    if (relay.headSent()) {
       onBroken("status " + head.status() + " in place of the rest");
       return;
     }
@@ -375,6 +378,6 @@
       attempt.engine().succeeded();
     }
     endAttempt("complete");
-    owner.onWholeAnswer(head, body);
+    owner.onWholeResponse(head, body);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AuthorizedCall.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AuthorizedCall.java
@@ -14,7 +14,7 @@
  * @param request the caller's request
  * @param route how it is served
  * @param caller on whose behalf it runs
- * @param use what its tenant asked for lately
+ * @param limitUse what its tenant asked for lately
  * @param service the service that runs it
  * @param tokensPerEvent tokens of one event of a stream of that service
  * @param deadlineNanos when its caller no longer waits, by the event loop's clock
@@ -23,7 +23,7 @@
     CallRequest request,
     Route route,
     Caller caller,
-    LimitUse use,
+    LimitUse limitUse,
     String service,
     int tokensPerEvent,
     long deadlineNanos) {
@@ -31,18 +31,24 @@
   /** Chooses the service for a request that was admitted. */
   static AuthorizedCall of(
       CallRequest request,
-      CallAuthorization.Outcome.Admitted admitted,
+      CallAuthorization.Outcome.Authorized authorized,
       BackendSelector backendChooser) {
-    Route route = admitted.route();
+    Route route = authorized.route();
     CallAttributes attributes = request.attributes();
-    String line = attributes.lineOrObject(route.kind() == RouteKind.STREAMING);
-    String service = backendChooser.choose(route, line);
-    ServiceProfile profile = admitted.configuration().service(service);
+    String conversation = attributes.conversationOrObject(route.kind() == RouteKind.STREAMING);
+    String service = backendChooser.choose(route, conversation);
+    ServiceProfile profile = authorized.configuration().service(service);
     int tokensPerEvent = profile == null ? 0 : profile.tokensPerEvent();
-    long patience = attributes.patienceMillis(route.timeoutMillis());
-    long deadlineNanos = request.receivedNanos() + patience * 1_000_000;
+    long timeoutMillis = attributes.timeoutMillis(route.timeoutMillis());
+    long deadlineNanos = request.receivedNanos() + timeoutMillis * 1_000_000;
     return new AuthorizedCall(
-        request, route, admitted.caller(), admitted.use(), service, tokensPerEvent, deadlineNanos);
+        request,
+        route,
+        authorized.caller(),
+        authorized.limitUse(),
+        service,
+        tokensPerEvent,
+        deadlineNanos);
   }
 
   CallAttributes attributes() {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallAttributes.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallAttributes.java
@@ -43,7 +43,7 @@
   }
 
   /** Whether the request belongs to the line of turns with which its program began. */
-  public boolean firstLine() {
+  public boolean firstConversation() {
     return programId != null && programId.equals(sessionId);
   }
 
@@ -52,7 +52,7 @@
    *
    * @param timeoutMillis the longest time that the route holds a request
    */
-  public long patienceMillis(long timeoutMillis) {
+  public long timeoutMillis(long timeoutMillis) {
     return deadlineMillis == ABSENT ? timeoutMillis : Math.min(deadlineMillis, timeoutMillis);
   }
 
@@ -61,7 +61,7 @@
    *
    * @param stream whether the request is a stream
    */
-  public String lineOrObject(boolean stream) {
+  public String conversationOrObject(boolean stream) {
     return stream && sessionId != null ? sessionId : affinityKey;
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallAuthorization.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallAuthorization.java
@@ -35,11 +35,11 @@
   private static final long NO_HOLDER_RETRY_MILLIS = 300;
 
   /** The part of a request's time for which it waits for the decision on its limit. */
-  private static final double LIMIT_PART_OF_PATIENCE = 0.3;
+  private static final double LIMIT_PART_OF_TIME = 0.3;
 
   private final GatewayContext context;
   private final CallRequest request;
-  private final Consumer<Outcome> answer;
+  private final Consumer<Outcome> outcomeListener;
   private GatewayConfiguration configuration;
   private Route route;
 
@@ -51,9 +51,10 @@
      * @param configuration the configuration under which it runs
      * @param route its route
      * @param caller on whose behalf it runs
-     * @param use what its tenant asked for lately
+     * @param limitUse what its tenant asked for lately
      */
-    record Admitted(GatewayConfiguration configuration, Route route, Caller caller, LimitUse use)
+    record Authorized(
+        GatewayConfiguration configuration, Route route, Caller caller, LimitUse limitUse)
         implements Outcome {}
 
     /**
@@ -69,15 +70,16 @@
   /**
    * Creates a step that has not begun.
    *
-   * @param answer takes the outcome, exactly once
+   * @param outcomeListener takes the outcome, exactly once
    */
-  CallAuthorization(GatewayContext context, CallRequest request, Consumer<Outcome> answer) {
+  CallAuthorization(
+      GatewayContext context, CallRequest request, Consumer<Outcome> outcomeListener) {
     this.context = context;
     this.request = request;
-    this.answer = answer;
+    this.outcomeListener = outcomeListener;
   }
 
-  void begin() {
+  void start() {
     configuration = context.state().configuration();
     if (configuration == null) {
       refuse(ErrorKind.NOT_READY, NOT_READY_RETRY_MILLIS, "no configuration");
@@ -87,29 +89,30 @@
     if (route == null) {
       refuseUnknownRoute();
     } else if (!configuration.tenants().keysRequired()) {
-      admit(Caller.WITHOUT_KEYS, LimitUse.UNKNOWN);
+      authorize(Caller.WITHOUT_KEYS, LimitUse.UNKNOWN);
     } else if (route.anonymous()) {
-      admit(Caller.ANONYMOUS, LimitUse.UNKNOWN);
+      authorize(Caller.ANONYMOUS, LimitUse.UNKNOWN);
     } else {
       context
           .authenticator()
-          .authenticate(request.attributes().apiKey(), request.receivedNanos(), this::onVerdict);
+          .authenticate(
+              request.attributes().apiKey(), request.receivedNanos(), this::onKeyDecision);
     }
   }
 
   private void refuseUnknownRoute() {
-    if (context.state().current()) {
+    if (context.state().configurationRecent()) {
       refuse(ErrorKind.UNKNOWN_RESOURCE, 0, "no route");
     } else {
       refuse(ErrorKind.NOT_READY, NOT_READY_RETRY_MILLIS, "no route in an old configuration");
     }
   }
 
-  private void onVerdict(KeyDecision verdict) {
-    if (verdict instanceof KeyDecision.Accepted accepted) {
+  private void onKeyDecision(KeyDecision decision) {
+    if (decision instanceof KeyDecision.Accepted accepted) {
       context.metrics().keyChecked("accepted");
-      takeOffLimit(accepted.tenant());
-    } else if (verdict instanceof KeyDecision.Undecided undecided) {
+      chargeLimit(accepted.tenant());
+    } else if (decision instanceof KeyDecision.Undecided undecided) {
       context.metrics().keyChecked("undecided");
       String detail = "configuration too old, proven_ms_ago=" + undecided.ageMillis();
       refuse(ErrorKind.NOT_READY, retryMillis(STALE_RETRY_MILLIS), detail);
@@ -132,38 +135,38 @@
                 attributes.maxOutputTokens());
   }
 
-  private long retryMillis(long whileOthersServe) {
-    return context.storeHealth().reachable() ? whileOthersServe : OUTAGE_RETRY_MILLIS;
+  private long retryMillis(long whileReachableMillis) {
+    return context.storeHealth().reachable() ? whileReachableMillis : OUTAGE_RETRY_MILLIS;
   }
 
-  private void takeOffLimit(Tenant tenant) {
+  private void chargeLimit(Tenant tenant) {
     if (budgetSpent(tenant)) {
       refuse(tenant, ErrorKind.BUDGET_EXCEEDED, 0, "budget spent");
       return;
     }
-    long patience = request.attributes().patienceMillis(route.timeoutMillis());
-    long limitPatience = Math.round(patience * LIMIT_PART_OF_PATIENCE);
+    long timeoutMillis = request.attributes().timeoutMillis(route.timeoutMillis());
+    long limitTimeoutMillis = Math.round(timeoutMillis * LIMIT_PART_OF_TIME);
     context
         .limiter()
-        .decide(limited(tenant), limitPatience, decision -> onDecision(tenant, decision));
+        .decide(limited(tenant), limitTimeoutMillis, decision -> onDecision(tenant, decision));
   }
 
   private LimitedRequest limited(Tenant tenant) {
     CallAttributes attributes = request.attributes();
     String program = Caller.of(tenant).scoped(attributes.programId());
-    boolean opening =
+    boolean firstTurn =
         route.kind() == RouteKind.STREAMING
-            && attributes.firstLine()
+            && attributes.firstConversation()
             && !context.budgets().isKnown(program);
     return new LimitedRequest(
         tenant,
-        opening ? RequestKind.FIRST_TURN : RequestKind.CONTINUING,
+        firstTurn ? RequestKind.FIRST_TURN : RequestKind.CONTINUING,
         Optional.ofNullable(program).map(ProgramId::new));
   }
 
   private void onDecision(Tenant tenant, Decision decision) {
     if (decision instanceof Decision.Allowed allowed) {
-      admit(Caller.of(tenant), allowed.use());
+      authorize(Caller.of(tenant), allowed.use());
     } else if (decision instanceof Decision.Exceeded exceeded) {
       String detail =
           "tenant's limit, rate="
@@ -182,23 +185,25 @@
     }
   }
 
-  private void admit(Caller caller, LimitUse use) {
-    answer.accept(new Outcome.Admitted(configuration, route, caller, use));
+  private void authorize(Caller caller, LimitUse limitUse) {
+    outcomeListener.accept(new Outcome.Authorized(configuration, route, caller, limitUse));
   }
 
   private void refuse(ErrorKind kind, long retryMillis, String detail) {
-    answer.accept(new Outcome.Refused(route, "none", spread(kind, retryMillis, detail)));
+    outcomeListener.accept(
+        new Outcome.Refused(route, "none", jitteredRefusal(kind, retryMillis, detail)));
   }
 
   private void refuse(Tenant tenant, ErrorKind kind, long retryMillis, String detail) {
     String name = tenant.id().value();
-    answer.accept(new Outcome.Refused(route, name, spread(kind, retryMillis, detail)));
+    outcomeListener.accept(
+        new Outcome.Refused(route, name, jitteredRefusal(kind, retryMillis, detail)));
   }
 
   /** The limiter knows when a token is there; before that it is of no use to come back. */
-  private Refusal spread(ErrorKind kind, long retryMillis, String detail) {
-    boolean exact = kind == ErrorKind.RATE_LIMITED;
-    long delay = exact ? retryMillis : context.admission().retryDelay().around(retryMillis);
+  private Refusal jitteredRefusal(ErrorKind kind, long retryMillis, String detail) {
+    boolean rateLimited = kind == ErrorKind.RATE_LIMITED;
+    long delay = rateLimited ? retryMillis : context.admission().retryDelay().jittered(retryMillis);
     return new Refusal(kind, delay, detail);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallRecord.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallRecord.java
@@ -18,7 +18,7 @@
   private final GatewayLog log;
   private final GatewayMetrics metrics;
   private final EventLoop eventLoop;
-  private final EnumMap<Wait, Long> beganNanos = new EnumMap<>(Wait.class);
+  private final EnumMap<Wait, Long> startedNanos = new EnumMap<>(Wait.class);
   private final EnumMap<Wait, Long> waitedMillis = new EnumMap<>(Wait.class);
   private String tenant = "none";
   private String lastEngine = "none";
@@ -34,7 +34,7 @@
     /** The turns that it continues. */
     HISTORY,
     /** The store's word that its turn is kept. */
-    KEEP
+    STORE_TURN
   }
 
   /**
@@ -69,16 +69,16 @@
   }
 
   /** Notes on whose behalf the call runs. */
-  void tenant(String name) {
+  void setTenant(String name) {
     tenant = name;
   }
 
-  void waitBegan(Wait wait) {
-    beganNanos.put(wait, eventLoop.nanoTime());
+  void waitStarted(Wait wait) {
+    startedNanos.put(wait, eventLoop.nanoTime());
   }
 
   void waitEnded(Wait wait) {
-    Long began = beganNanos.remove(wait);
+    Long began = startedNanos.remove(wait);
     if (began != null) {
       waitedMillis.merge(wait, (eventLoop.nanoTime() - began) / 1_000_000, Long::sum);
     }
@@ -164,7 +164,7 @@
         "history_ms",
         waited(Wait.HISTORY),
         "keep_ms",
-        waited(Wait.KEEP),
+        waited(Wait.STORE_TURN),
         "sends",
         end.sends(),
         "engine",
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallRequest.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallRequest.java
@@ -47,11 +47,11 @@
         caller.priority(route.priority()),
         stream,
         caller.scoped(attributes.programId()),
-        stream && attributes.firstLine() && attributes.previousTurn() == null,
-        programLeftMillis(nowNanos));
+        stream && attributes.firstConversation() && attributes.previousTurn() == null,
+        programRemainingMillis(nowNanos));
   }
 
-  private long programLeftMillis(long nowNanos) {
+  private long programRemainingMillis(long nowNanos) {
     return attributes.finishMillis() == CallAttributes.ABSENT
         ? RankedRequest.ABSENT
         : Math.max(0, attributes.finishMillis() - (nowNanos - receivedNanos) / 1_000_000);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ClientCall.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ClientCall.java
@@ -19,7 +19,7 @@
   private static final long STORE_RETRY_MILLIS = 800;
 
   private final GatewayContext context;
-  private final WaitQueue roomQueue;
+  private final WaitQueue waitQueue;
   private final CallRequest request;
   private final CallResponder responder;
   private final EventLoop eventLoop;
@@ -30,16 +30,16 @@
   private ResponseRelay relay;
   private AttemptSequence attempts;
   private byte[] engineBody;
-  private TurnChain retainedTurn;
+  private TurnChain turnChain;
   private TurnBudget budget;
   private EventLoop.Timer deadlineTimer;
   private boolean streamComplete;
-  private boolean over;
+  private boolean finished;
 
   ClientCall(
-      GatewayContext context, WaitQueue roomQueue, CallRequest request, CallResponder responder) {
+      GatewayContext context, WaitQueue waitQueue, CallRequest request, CallResponder responder) {
     this.context = context;
-    this.roomQueue = roomQueue;
+    this.waitQueue = waitQueue;
     this.request = request;
     this.responder = responder;
     this.eventLoop = context.eventLoop();
@@ -47,33 +47,33 @@
   }
 
   void start() {
-    record.waitBegan(CallRecord.Wait.ADMISSION);
-    new CallAuthorization(context, request, this::onAdmission).begin();
+    record.waitStarted(CallRecord.Wait.ADMISSION);
+    new CallAuthorization(context, request, this::onAuthorization).start();
   }
 
-  private void onAdmission(CallAuthorization.Outcome outcome) {
-    if (over) {
+  private void onAuthorization(CallAuthorization.Outcome outcome) {
+    if (finished) {
       return;
     }
     if (outcome instanceof CallAuthorization.Outcome.Refused refused) {
       route = refused.route();
-      record.tenant(refused.tenant());
+      record.setTenant(refused.tenant());
       refuse(refused.refusal());
     } else {
-      begin((CallAuthorization.Outcome.Admitted) outcome);
+      proceed((CallAuthorization.Outcome.Authorized) outcome);
     }
   }
 
-  private void begin(CallAuthorization.Outcome.Admitted admitted) {
-    route = admitted.route();
-    caller = admitted.caller();
-    record.tenant(caller.name());
-    call = AuthorizedCall.of(request, admitted, context.backendChooser());
-    retainedTurn = new TurnChain(context, call);
-    long leftMillis = Math.max(0, (call.deadlineNanos() - eventLoop.nanoTime()) / 1_000_000);
-    deadlineTimer = eventLoop.schedule(leftMillis, this::onDeadline);
+  private void proceed(CallAuthorization.Outcome.Authorized authorized) {
+    route = authorized.route();
+    caller = authorized.caller();
+    record.setTenant(caller.name());
+    call = AuthorizedCall.of(request, authorized, context.backendChooser());
+    turnChain = new TurnChain(context, call);
+    long remainingMillis = Math.max(0, (call.deadlineNanos() - eventLoop.nanoTime()) / 1_000_000);
+    deadlineTimer = eventLoop.schedule(remainingMillis, this::onDeadline);
     relay = new ResponseRelay(responder, attributes().lastEventId(), route.retained());
-    attempts = new AttemptSequence(context, roomQueue, call, record, relay, this);
+    attempts = new AttemptSequence(context, waitQueue, call, record, relay, this);
     budget = new TurnBudget(context, call);
     budget.admit(this::onProgramAdmitted, this::refuse);
   }
@@ -95,31 +95,31 @@
     if (!call.stream()) {
       return true;
     }
-    if (route.retained() && budget.mustNotWaitForStore()) {
+    if (route.retained() && budget.mustRefuseWithoutStore()) {
       refuse(ErrorKind.STORE_UNAVAILABLE, STORE_RETRY_MILLIS, "kept turn without store");
       return false;
     }
     if (!attributes().budgeted()) {
-      relay.open();
+      relay.passOn();
       return true;
     }
     return budgetAdmits();
   }
 
   private boolean budgetAdmits() {
-    ReservationStatus grant = budget.reserve(call.deadlineNanos(), this::onGrantDecided);
-    if (grant == ReservationStatus.EXHAUSTED) {
+    ReservationStatus status = budget.reserve(call.deadlineNanos(), this::onReservationDecided);
+    if (status == ReservationStatus.EXHAUSTED) {
       refuse(ErrorKind.BUDGET_EXCEEDED, 0, "budget spent");
       return false;
     }
-    if (grant == ReservationStatus.PENDING && budget.mustNotWaitForStore()) {
+    if (status == ReservationStatus.PENDING && budget.mustRefuseWithoutStore()) {
       refuse(ErrorKind.STORE_UNAVAILABLE, STORE_RETRY_MILLIS, "no grant without store");
       return false;
     }
-    if (grant == ReservationStatus.GRANTED) {
-      relay.open();
+    if (status == ReservationStatus.GRANTED) {
+      relay.passOn();
     } else {
-      record.waitBegan(CallRecord.Wait.GRANT);
+      record.waitStarted(CallRecord.Wait.GRANT);
     }
     return true;
   }
@@ -129,12 +129,12 @@
       onReadyToSend(request.body());
       return;
     }
-    record.waitBegan(CallRecord.Wait.HISTORY);
-    retainedTurn.findPrevious(this::onHistory);
+    record.waitStarted(CallRecord.Wait.HISTORY);
+    turnChain.findPrevious(this::onHistory);
   }
 
   private void onHistory(Lookup lookup) {
-    if (over) {
+    if (finished) {
       return;
     }
     record.waitEnded(CallRecord.Wait.HISTORY);
@@ -149,17 +149,17 @@
 
   private void onReadyToSend(byte[] body) {
     engineBody = body;
-    if (budget.allowsSending()) {
-      attempts.begin(engineBody);
+    if (budget.maySend()) {
+      attempts.start(engineBody);
     }
   }
 
-  private void onGrantDecided() {
-    if (over) {
+  private void onReservationDecided() {
+    if (finished) {
       return;
     }
     record.waitEnded(CallRecord.Wait.GRANT);
-    switch (budget.grant()) {
+    switch (budget.status()) {
       case GRANTED -> onGranted();
       case EXHAUSTED -> onNotGranted(ErrorKind.BUDGET_EXCEEDED, 0, "budget spent");
       default -> onNotGranted(ErrorKind.STORE_UNAVAILABLE, STORE_RETRY_MILLIS, "grant unknown");
@@ -167,15 +167,15 @@
   }
 
   private void onGranted() {
-    if (relay.holding()) {
-      noteEventsPassed(relay.open());
+    if (relay.hasHeldEvents()) {
+      recordEventsSent(relay.passOn());
     } else {
-      relay.open();
+      relay.passOn();
     }
     if (streamComplete) {
       finishStream();
-    } else if (engineBody != null && !attempts.begun()) {
-      attempts.begin(engineBody);
+    } else if (engineBody != null && !attempts.started()) {
+      attempts.start(engineBody);
     }
   }
 
@@ -192,37 +192,37 @@
 
   @Override
   public void onStreamEvent(StreamEvent event) {
-    if (relay.event(event)) {
-      noteEventsPassed(1);
+    if (relay.addEvent(event)) {
+      recordEventsSent(1);
     }
   }
 
   @Override
   public void onStreamComplete() {
     streamComplete = true;
-    if (budget.grant() == ReservationStatus.GRANTED) {
+    if (budget.status() == ReservationStatus.GRANTED) {
       finishStream();
     }
   }
 
   @Override
-  public void onWholeAnswer(ResponseHead head, byte[] body) {
-    over = true;
+  public void onWholeResponse(ResponseHead head, byte[] body) {
+    finished = true;
     responder.respond(head, body);
-    ended(head.status(), "answered");
+    recordEnd(head.status(), "answered");
   }
 
   @Override
   public void onAttemptsFailed(ErrorKind kind, long retryMillis, String detail) {
-    if (relay.begun()) {
+    if (relay.headSent()) {
       abort(detail);
     } else {
       refuse(kind, retryMillis, detail);
     }
   }
 
-  private void noteEventsPassed(int events) {
-    budget.used(events * call.tokensPerEvent());
+  private void recordEventsSent(int events) {
+    budget.recordUse(events * call.tokensPerEvent());
   }
 
   // Ends.
@@ -232,18 +232,18 @@
       endStream();
       return;
     }
-    record.waitBegan(CallRecord.Wait.KEEP);
-    retainedTurn.keep(relay.output(), this::onTurnKept);
+    record.waitStarted(CallRecord.Wait.STORE_TURN);
+    turnChain.store(relay.output(), this::onTurnStored);
   }
 
-  private void onTurnKept(boolean kept) {
-    if (over) {
+  private void onTurnStored(boolean stored) {
+    if (finished) {
       return;
     }
-    record.waitEnded(CallRecord.Wait.KEEP);
-    if (kept) {
+    record.waitEnded(CallRecord.Wait.STORE_TURN);
+    if (stored) {
       endStream();
-    } else if (relay.begun()) {
+    } else if (relay.headSent()) {
       abort("turn not kept");
     } else {
       refuse(ErrorKind.BACKEND_FAILED, 0, "turn not kept");
@@ -251,17 +251,17 @@
   }
 
   private void endStream() {
-    over = true;
-    relay.end();
-    ended(200, "streamed");
+    finished = true;
+    relay.endStream();
+    recordEnd(200, "streamed");
   }
 
   private void onDeadline() {
-    if (over) {
+    if (finished) {
       return;
     }
     attempts.cancel("deadline");
-    if (relay.begun()) {
+    if (relay.headSent()) {
       abort("deadline");
     } else if (attempts.runs() == 0) {
       // No engine has it: what may run only once may be sent again after this.
@@ -273,12 +273,12 @@
 
   /** The caller's connection is gone: nothing of this request is to go on. */
   public void callerDisconnected() {
-    if (over) {
+    if (finished) {
       return;
     }
-    over = true;
+    finished = true;
     cancelAttempt("caller_left");
-    ended(ErrorKind.CANCELLED.httpStatus(), "caller_left");
+    recordEnd(ErrorKind.CANCELLED.httpStatus(), "caller_left");
   }
 
   private void cancelAttempt(String outcome) {
@@ -288,24 +288,24 @@
   }
 
   private void abort(String detail) {
-    over = true;
+    finished = true;
     cancelAttempt("aborted");
-    relay.abort();
-    ended(0, "aborted: " + detail);
+    relay.abortStream();
+    recordEnd(0, "aborted: " + detail);
   }
 
-  private void refuse(ErrorKind kind, long aboutMillis, String detail) {
-    refuse(new Refusal(kind, context.admission().retryDelay().around(aboutMillis), detail));
+  private void refuse(ErrorKind kind, long meanMillis, String detail) {
+    refuse(new Refusal(kind, context.admission().retryDelay().jittered(meanMillis), detail));
   }
 
   private void refuse(Refusal refusal) {
-    over = true;
+    finished = true;
     cancelAttempt("refused");
     responder.refuse(refusal);
-    ended(refusal.kind().httpStatus(), "refused: " + refusal.detail());
+    recordEnd(refusal.kind().httpStatus(), "refused: " + refusal.detail());
   }
 
-  private void ended(int status, String outcome) {
+  private void recordEnd(int status, String outcome) {
     if (deadlineTimer != null) {
       deadlineTimer.cancel();
     }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineAttempt.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineAttempt.java
@@ -30,7 +30,7 @@
   /** Hears what became of the attempt; exactly one of the last four ends it. */
   interface Owner {
     /** Requests of its service that wait for room at this process. */
-    int waitingForRoom();
+    int waitingForCapacity();
 
     /** Something arrived. */
     void onAttemptProgress();
@@ -51,7 +51,7 @@
     void onBroken(String detail);
 
     /** A whole answer that is not a stream. */
-    void onWholeAnswer(ResponseHead head, byte[] body);
+    void onWholeResponse(ResponseHead head, byte[] body);
   }
 
   private final Engine engine;
@@ -62,7 +62,7 @@
   private final Owner owner;
   private final EventStreamParser parser = new EventStreamParser();
   private final double expectedMillis;
-  private final int unreadTokens;
+  private final int uncachedTokens;
   private final boolean continuation;
   private final long startedNanos;
   private EngineTransport.Exchange exchange;
@@ -70,8 +70,8 @@
   private ByteArrayOutputStream body;
   private long lastEventNanos;
   private int events;
-  private boolean heldBack;
-  private boolean waiting;
+  private boolean wasPaused;
+  private boolean awaitingFirstEvent;
   private boolean closed;
 
   EngineAttempt(
@@ -88,7 +88,7 @@
     this.admission = admission;
     this.owner = owner;
     this.expectedMillis = engine.expectedFirstEventMillis(prompt);
-    this.unreadTokens = engine.cachedPrefixes().uncachedTokens(prompt);
+    this.uncachedTokens = engine.cachedPrefixes().uncachedTokens(prompt);
     this.continuation = engine.cachedPrefixes().containsOwnPart(prompt);
     this.startedNanos = eventLoop.nanoTime();
   }
@@ -96,8 +96,8 @@
   void send(EngineTransport transport, EngineRequest request) {
     engine.requestStarted(startedNanos);
     engine.capacity().sent(startedNanos);
-    waiting = !prompt.isEmpty();
-    if (waiting) {
+    awaitingFirstEvent = !prompt.isEmpty();
+    if (awaitingFirstEvent) {
       admission.requestSent(engine.record().service(), startedNanos);
     }
     exchange = transport.send(engine, request, this);
@@ -114,7 +114,7 @@
   @Override
   public void pause() {
     if (!closed) {
-      heldBack = true;
+      wasPaused = true;
       exchange.pauseReading();
     }
   }
@@ -133,22 +133,22 @@
   void close() {
     closed = true;
     engine.requestEnded(startedNanos);
-    noteAnswered();
+    endWait();
   }
 
-  private void noteAnswered() {
-    if (waiting) {
-      waiting = false;
-      admission.requestAnswered(engine.record().service(), startedNanos);
+  private void endWait() {
+    if (awaitingFirstEvent) {
+      awaitingFirstEvent = false;
+      admission.requestWaitEnded(engine.record().service(), startedNanos);
     }
   }
 
   @Override
-  public void onHead(ResponseHead answerHead) {
+  public void onHead(ResponseHead responseHead) {
     if (closed) {
       return;
     }
-    head = answerHead;
+    head = responseHead;
     owner.onAttemptProgress();
     ResponseTraits traits = head.traits();
     if (head.status() == MISDIRECTED || traits.notExecuted()) {
@@ -163,14 +163,17 @@
     }
   }
 
-  private void saidFull() {
+  private void recordFull() {
     ServicePerformance performance = engine.performance();
-    double answerMillis =
+    double responseMillis =
         prompt.isEmpty() ? performance.nonStreamMillis() : performance.streamMillis();
     engine
         .capacity()
         .reportedFull(
-            answerMillis, engine.record().slots(), owner.waitingForRoom(), eventLoop.nanoTime());
+            responseMillis,
+            engine.record().slots(),
+            owner.waitingForCapacity(),
+            eventLoop.nanoTime());
   }
 
   private void onNotExecuted() {
@@ -178,7 +181,7 @@
     if (misdirected) {
       engine.failed(eventLoop.nanoTime());
     } else {
-      saidFull();
+      recordFull();
     }
     owner.onNotRun(misdirected ? NotRun.MISDIRECTED : NotRun.FULL, "not_executed_" + head.status());
   }
@@ -200,31 +203,31 @@
     if (closed) {
       return;
     }
-    long now = eventLoop.nanoTime();
+    long nowNanos = eventLoop.nanoTime();
     if (events == 0) {
-      noteFirstEvent(now);
-    } else if (!heldBack) {
-      engine.observeInterEventTime((now - lastEventNanos) / 1e6);
+      recordFirstEvent(nowNanos);
+    } else if (!wasPaused) {
+      engine.observeInterEventTime((nowNanos - lastEventNanos) / 1e6);
     }
-    lastEventNanos = now;
+    lastEventNanos = nowNanos;
     events++;
     owner.onStreamEvent(event);
   }
 
-  private void noteFirstEvent(long now) {
-    noteAnswered();
+  private void recordFirstEvent(long nowNanos) {
+    endWait();
     engine.cachedPrefixes().add(prompt);
-    if (heldBack) {
+    if (wasPaused) {
       return;
     }
-    double firstMillis = (now - startedNanos) / 1e6;
-    engine.performance().observeFirstEvent(unreadTokens, firstMillis);
+    double firstMillis = (nowNanos - startedNanos) / 1e6;
+    engine.performance().observeFirstEvent(uncachedTokens, firstMillis);
     if (continuation) {
-      engine.performance().observeNewTokens(unreadTokens);
+      engine.performance().observeNewTokens(uncachedTokens);
     }
     double waitMillis = firstMillis - expectedMillis;
-    engine.observeWait(waitMillis, now);
-    admission.observeWait(engine.record().service(), waitMillis, now);
+    engine.observeWait(waitMillis, nowNanos);
+    admission.observeWait(engine.record().service(), waitMillis, nowNanos);
   }
 
   @Override
@@ -234,10 +237,10 @@
     }
     engine.capacity().responseReceived(eventLoop.nanoTime());
     if (body != null) {
-      if (!heldBack) {
+      if (!wasPaused) {
         engine.performance().observeNonStream((eventLoop.nanoTime() - startedNanos) / 1e6);
       }
-      owner.onWholeAnswer(head, body.toByteArray());
+      owner.onWholeResponse(head, body.toByteArray());
     } else if (parser.midEvent()) {
       owner.onBroken("ended within an event");
     } else {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GatewayState.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GatewayState.java
@@ -24,7 +24,7 @@
    * Engines write their entries anew within about two seconds of the store's return; an entry that
    * is missing after that is that of an engine which is gone. A fifth of a second is slack.
    */
-  private static final long LAPSES_END_NANOS = 2_200_000_000L;
+  private static final long LAPSE_WINDOW_NANOS = 2_200_000_000L;
 
   private static final long STORE_LOST_NANOS = 3_500_000_000L;
 
@@ -47,15 +47,15 @@
   }
 
   private void logRestart(
-      EngineId id, long bornBefore, long bornNow, EngineRestartListener.Source source) {
+      EngineId id, long startBefore, long startNow, EngineRestartListener.Source source) {
     log.write(
         GatewayEvent.ENGINE_RESTARTED,
         "engine",
         id.value(),
         "born_before",
-        bornBefore,
+        startBefore,
         "born",
-        bornNow,
+        startNow,
         "source",
         source.name().toLowerCase(Locale.ROOT));
   }
@@ -66,23 +66,23 @@
   }
 
   /** Adopts a configuration if it is newer than the one in force. */
-  public void adoptIfNewer(GatewayConfiguration offered) {
-    if (configuration != null && offered.version() <= configuration.version()) {
+  public void adoptIfNewer(GatewayConfiguration newConfiguration) {
+    if (configuration != null && newConfiguration.version() <= configuration.version()) {
       log.write(
           GatewayEvent.CONFIGURATION_IGNORED,
           "version",
-          offered.version(),
+          newConfiguration.version(),
           "in_force",
           configuration.version());
       return;
     }
-    configuration = offered;
+    configuration = newConfiguration;
     log.write(
         GatewayEvent.CONFIGURATION_IN_FORCE,
         "version",
-        offered.version(),
+        newConfiguration.version(),
         "routes",
-        offered.routeCount());
+        newConfiguration.routeCount());
   }
 
   /** Adopts the whole list of engines. */
@@ -98,16 +98,16 @@
   public void replaceEngines(List<EngineRecord> records, List<EngineEntryFault> faults) {
     enginesKnown = true;
     List<EngineId> unusable = faults.stream().map(EngineEntryFault::engine).toList();
-    engines.replaceAll(records, unusable, lapsesEndNanos(), eventLoop.nanoTime());
+    engines.replaceAll(records, unusable, lapseWindowEndNanos(), eventLoop.nanoTime());
     entryFaults.retain(unusable);
-    faults.forEach(this::noteFault);
+    faults.forEach(this::recordFault);
     log.write(GatewayEvent.ENGINES_CHANGED, "listed", records.size(), "known", engines.size());
   }
 
   /** An engine's entry names none to use: it gets no new work until its entry is good again. */
   public void withdrawEngine(EngineEntryFault fault) {
     engines.withdraw(fault.engine());
-    noteFault(fault);
+    recordFault(fault);
   }
 
   /** Entries that name no engine to use, as far as they are told apart. */
@@ -115,7 +115,7 @@
     return entryFaults.size();
   }
 
-  private void noteFault(EngineEntryFault fault) {
+  private void recordFault(EngineEntryFault fault) {
     if (entryFaults.note(fault)) {
       log.write(
           GatewayEvent.ENGINE_ENTRY_UNUSABLE,
@@ -147,7 +147,7 @@
   /** An engine's entry is gone. */
   public void removeEngine(String id) {
     entryFaults.clear(new EngineId(id));
-    engines.remove(id, lapsesEndNanos(), eventLoop.nanoTime());
+    engines.remove(id, lapseWindowEndNanos(), eventLoop.nanoTime());
     log.write(
         GatewayEvent.ENGINES_CHANGED,
         "engine",
@@ -155,24 +155,26 @@
         "removed",
         true,
         "disturbed",
-        storeDisturbed(),
+        storeFailedRecently(),
         "known",
         engines.size());
   }
 
   /** Whether entries of engines may have lapsed in an outage that ended shortly before. */
-  public boolean storeDisturbed() {
-    return lapsesEndNanos() - eventLoop.nanoTime() > 0;
+  public boolean storeFailedRecently() {
+    return lapseWindowEndNanos() - eventLoop.nanoTime() > 0;
   }
 
-  private long lapsesEndNanos() {
+  private long lapseWindowEndNanos() {
     long now = eventLoop.nanoTime();
     long sinceFailureNanos = storeHealth.nanosSinceFailure(now);
-    return sinceFailureNanos > LAPSES_END_NANOS ? now : now - sinceFailureNanos + LAPSES_END_NANOS;
+    return sinceFailureNanos > LAPSE_WINDOW_NANOS
+        ? now
+        : now - sinceFailureNanos + LAPSE_WINDOW_NANOS;
   }
 
   /** Whether the configuration in force is known to be recent. */
-  public boolean current() {
+  public boolean configurationRecent() {
     return storeHealth.nanosSinceAnswer(eventLoop.nanoTime()) < STORE_LOST_NANOS;
   }
 
@@ -193,6 +195,6 @@
 
   /** Whether new callers should come here. */
   public boolean ready() {
-    return configuration != null && enginesKnown && !stopping && current();
+    return configuration != null && enginesKnown && !stopping && configurationRecent();
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GracefulStop.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GracefulStop.java
@@ -10,7 +10,7 @@
  */
 public final class GracefulStop {
   /** Two missed questions a second apart, and some slack. */
-  private static final long ENTRY_NOTICE_MILLIS = 2_600;
+  private static final long NOT_READY_NOTICE_MILLIS = 2_600;
 
   private static final long POLL_MILLIS = 50;
   private static final long END_MARGIN_MILLIS = 500;
@@ -61,7 +61,7 @@
     startedNanos = eventLoop.nanoTime();
     state.stop();
     log.write(GatewayEvent.GATEWAY_STOPPING, "active", callers.activeCalls());
-    eventLoop.schedule(Math.min(ENTRY_NOTICE_MILLIS, graceMillis / 2), this::closeIdle);
+    eventLoop.schedule(Math.min(NOT_READY_NOTICE_MILLIS, graceMillis / 2), this::closeIdle);
   }
 
   private void closeIdle() {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ProgramStart.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ProgramStart.java
@@ -24,10 +24,10 @@
   private final String service;
   private final ProgramAdmission admission;
   private final String program;
-  private final String line;
-  private boolean mayOpen;
-  private boolean begunElsewhere;
-  private boolean turnBegan;
+  private final String conversation;
+  private boolean mayStart;
+  private boolean startedElsewhere;
+  private boolean turnStarted;
   private boolean closed;
 
   /** Creates an opening on which nothing is decided. */
@@ -39,7 +39,7 @@
     this.service = call.service();
     this.admission = context.admission();
     this.program = call.caller().scoped(attributes.programId());
-    this.line = call.caller().scoped(attributes.sessionId());
+    this.conversation = call.caller().scoped(attributes.sessionId());
   }
 
   /**
@@ -48,40 +48,42 @@
    * @param admitted runs if it may, unless the call is over by then
    * @param refused takes what the caller is told if it may not
    */
-  void judge(Runnable admitted, Consumer<Refusal> refused) {
+  void decide(Runnable admitted, Consumer<Refusal> refused) {
     if (route.kind() != RouteKind.STREAMING) {
-      noteToolUse();
+      recordToolCall();
       admitted.run();
       return;
     }
-    mayOpen = mayOpen();
-    if (!mayOpen || admission.unrestricted(opening(), now())) {
-      begin(admitted);
+    mayStart = mayStart();
+    if (!mayStart || admission.unrestricted(admissionRequest(), now())) {
+      proceed(admitted);
     } else if (!attributes.budgeted()) {
-      decide(admitted, refused);
+      requestAdmission(admitted, refused);
     } else if (!context.storeHealth().reachable()) {
-      begin(admitted);
+      proceed(admitted);
     } else {
-      context.budgets().findStarted(program, begun -> onFound(begun, admitted, refused));
+      context.budgets().findStarted(program, started -> onFound(started, admitted, refused));
     }
   }
 
-  private void noteToolUse() {
-    if (line != null) {
-      admission.toolUsed(line, service);
+  private void recordToolCall() {
+    if (conversation != null) {
+      admission.toolCalled(conversation, service);
     }
   }
 
   /** Whether the program may be a new one, as far as is known here. */
-  private boolean mayOpen() {
-    if (!attributes.firstLine() || attributes.previousTurn() != null || admission.served(line)) {
+  private boolean mayStart() {
+    if (!attributes.firstConversation()
+        || attributes.previousTurn() != null
+        || admission.servedRecently(conversation)) {
       return false;
     }
-    return attributes.budgeted() ? !context.budgets().isKnown(program) : !promptSeen();
+    return attributes.budgeted() ? !context.budgets().isKnown(program) : !promptSentBefore();
   }
 
   /** Whether an engine was sent a prompt with the same last part, which grows with the program. */
-  private boolean promptSeen() {
+  private boolean promptSentBefore() {
     for (Engine engine : context.state().engines(service)) {
       if (engine.cachedPrefixes().containsOwnPart(attributes.prompt())) {
         return true;
@@ -90,62 +92,63 @@
     return false;
   }
 
-  private void onFound(Started begun, Runnable admitted, Consumer<Refusal> refused) {
+  private void onFound(Started started, Runnable admitted, Consumer<Refusal> refused) {
     if (closed) {
       return;
     }
-    if (begun == Started.NO) {
-      decide(admitted, refused);
+    if (started == Started.NO) {
+      requestAdmission(admitted, refused);
     } else {
-      begunElsewhere = begun == Started.YES;
-      begin(admitted);
+      startedElsewhere = started == Started.YES;
+      proceed(admitted);
     }
   }
 
-  private void decide(Runnable admitted, Consumer<Refusal> refused) {
-    AdmissionDecision judgement =
-        admission.decide(opening(), attributes.requestId(), attributes.programId(), now());
-    if (judgement.admitted()) {
-      begin(admitted);
+  private void requestAdmission(Runnable admitted, Consumer<Refusal> refused) {
+    AdmissionDecision decision =
+        admission.decide(admissionRequest(), attributes.requestId(), attributes.programId(), now());
+    if (decision.admitted()) {
+      proceed(admitted);
     } else {
-      context.metrics().admissionDecided(judgement.cause().name().toLowerCase(Locale.ROOT));
+      context.metrics().admissionDecided(decision.cause().name().toLowerCase(Locale.ROOT));
       refused.accept(
-          new Refusal(ErrorKind.OVERLOADED, judgement.retryMillis(), judgement.cause().phrase()));
+          new Refusal(
+              ErrorKind.OVERLOADED, decision.retryMillis(), decision.cause().description()));
     }
   }
 
-  private void begin(Runnable admitted) {
-    if (attributes.firstLine()) {
-      turnBegan = true;
-      admission.turnBegan(route.name(), line, now());
+  private void proceed(Runnable admitted) {
+    if (attributes.firstConversation()) {
+      turnStarted = true;
+      admission.turnStarted(route.name(), conversation, now());
     }
-    if (mayOpen && !attributes.budgeted()) {
-      opened();
+    if (mayStart && !attributes.budgeted()) {
+      recordStart();
     }
     admitted.run();
   }
 
   /** The program turned out to be a new one. */
-  void opened() {
+  void recordStart() {
     context.metrics().admissionDecided("admitted");
-    admission.programOpened(route.name(), attributes.finishMillis(), now());
+    admission.programStarted(route.name(), attributes.finishMillis(), now());
   }
 
   /** Whether the program is known to have begun, though this process serves its first turn. */
-  boolean begunElsewhere() {
-    return begunElsewhere;
+  boolean startedElsewhere() {
+    return startedElsewhere;
   }
 
   /** The call is over. */
   void close() {
     closed = true;
-    if (turnBegan) {
-      turnBegan = false;
-      admission.turnEnded(line, now());
+    if (turnStarted) {
+      turnStarted = false;
+      admission.turnEnded(conversation, now());
     }
   }
 
-  private AdmissionRequest opening() {
+  private AdmissionRequest admissionRequest() {
     return new AdmissionRequest(
         route.name(),
         call.caller().priority(route.priority()),
@@ -153,7 +156,7 @@
         service,
         route.targetLatencyMillis(),
         attributes.finishMillis(),
-        call.use());
+        call.limitUse());
   }
 
   private long now() {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ResponseRelay.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ResponseRelay.java
@@ -16,10 +16,10 @@
   private final List<StreamEvent> held = new ArrayList<>();
   private ResponseSource source = ResponseSource.NONE;
   private ResponseHead head;
-  private boolean open;
-  private boolean begun;
+  private boolean passing;
+  private boolean headSent;
   private long lastEventId;
-  private int eventsPassed;
+  private int eventsSent;
 
   /**
    * Creates a relay.
@@ -34,8 +34,8 @@
   }
 
   /** Sets which engine brings the answer from now on. */
-  void readsFrom(ResponseSource engine) {
-    source = engine;
+  void readFrom(ResponseSource newSource) {
+    source = newSource;
     responder.flow().setSource(this);
   }
 
@@ -50,45 +50,45 @@
   }
 
   /** Takes the head of an engine's answer; that of the first engine is the caller's. */
-  void head(ResponseHead newHead) {
-    if (!begun) {
+  void setHead(ResponseHead newHead) {
+    if (!headSent) {
       head = newHead;
     }
   }
 
   /** Lets events through from now on. Returns how many that were held went to the caller. */
-  int open() {
-    open = true;
-    int before = eventsPassed;
-    List<StreamEvent> granted = List.copyOf(held);
+  int passOn() {
+    passing = true;
+    int before = eventsSent;
+    List<StreamEvent> toSend = List.copyOf(held);
     held.clear();
-    for (StreamEvent event : granted) {
-      pass(event);
+    for (StreamEvent event : toSend) {
+      send(event);
       responder.flow().release(event.bytes().length);
     }
-    return eventsPassed - before;
+    return eventsSent - before;
   }
 
   /** Takes an event. Returns whether it went to the caller. */
-  boolean event(StreamEvent event) {
+  boolean addEvent(StreamEvent event) {
     if (event.id() != CallAttributes.ABSENT && event.id() <= lastEventId) {
       return false;
     }
     if (event.id() != CallAttributes.ABSENT) {
       lastEventId = event.id();
     }
-    if (!open) {
+    if (!passing) {
       held.add(event);
       responder.flow().hold(event.bytes().length);
       return false;
     }
-    pass(event);
+    send(event);
     return true;
   }
 
-  private void pass(StreamEvent event) {
-    begin();
-    eventsPassed++;
+  private void send(StreamEvent event) {
+    sendHead();
+    eventsSent++;
     if (output != null && event.data() != null) {
       output.writeBytes(event.data());
       output.write('\n');
@@ -96,29 +96,29 @@
     responder.sendEvent(event.bytes());
   }
 
-  private void begin() {
-    if (!begun) {
-      begun = true;
+  private void sendHead() {
+    if (!headSent) {
+      headSent = true;
       responder.startStream(head);
     }
   }
 
-  void end() {
-    begin();
+  void endStream() {
+    sendHead();
     responder.endStream();
   }
 
-  void abort() {
+  void abortStream() {
     responder.abortStream();
   }
 
   /** Whether the caller has the head. */
-  boolean begun() {
-    return begun;
+  boolean headSent() {
+    return headSent;
   }
 
   /** Whether events wait for their grant. */
-  boolean holding() {
+  boolean hasHeldEvents() {
     return !held.isEmpty();
   }
 
@@ -127,8 +127,8 @@
     return lastEventId;
   }
 
-  int eventsPassed() {
-    return eventsPassed;
+  int eventsSent() {
+    return eventsSent;
   }
 
   /**
@@ -140,7 +140,7 @@
     held.forEach(event -> responder.flow().release(event.bytes().length));
     held.clear();
     responder.flow().setSource(NONE);
-    return eventsPassed;
+    return eventsSent;
   }
 
   /** The data of the events, a line feed after each. */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/SilenceWatch.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/SilenceWatch.java
@@ -12,7 +12,7 @@
   private final Route route;
   private final Runnable onSilence;
   private EventLoop.Timer timer;
-  private long lastHeardNanos;
+  private long lastReceivedNanos;
   private long firstEventNanos;
   private boolean paused;
 
@@ -30,15 +30,15 @@
 
   /** The request was sent to an engine; begins the watch if it has not begun. */
   void sent() {
-    lastHeardNanos = eventLoop.nanoTime();
+    lastReceivedNanos = eventLoop.nanoTime();
     if (route.repeatable() && timer == null) {
       timer = eventLoop.schedule(allowedMillis(), this::check);
     }
   }
 
   /** Something arrived from the engine. */
-  void heard() {
-    lastHeardNanos = eventLoop.nanoTime();
+  void dataReceived() {
+    lastReceivedNanos = eventLoop.nanoTime();
   }
 
   /** The engine is not listened to from now on. */
@@ -49,11 +49,11 @@
   /** The engine is listened to again. */
   void resume() {
     paused = false;
-    heard();
+    dataReceived();
   }
 
   /** An event arrived from the engine. */
-  void event() {
+  void eventReceived() {
     if (firstEventNanos == 0) {
       firstEventNanos = eventLoop.nanoTime();
     }
@@ -77,7 +77,7 @@
 
   private void check() {
     timer = eventLoop.schedule(allowedMillis(), this::check);
-    if (!paused && eventLoop.nanoTime() - lastHeardNanos >= allowedMillis() * 1_000_000) {
+    if (!paused && eventLoop.nanoTime() - lastReceivedNanos >= allowedMillis() * 1_000_000) {
       onSilence.run();
     }
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnBudget.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnBudget.java
@@ -12,7 +12,7 @@
   private final GatewayContext context;
   private final CallAttributes attributes;
   private final AuthorizedCall call;
-  private final ProgramStart opening;
+  private final ProgramStart programStart;
   private Reservation reservation;
   private boolean programKnown;
 
@@ -21,7 +21,7 @@
     this.context = context;
     this.call = call;
     this.attributes = call.attributes();
-    this.opening = new ProgramStart(context, call);
+    this.programStart = new ProgramStart(context, call);
   }
 
   /**
@@ -31,14 +31,14 @@
    * @param refused takes what the caller is told if it may not
    */
   void admit(Runnable admitted, Consumer<Refusal> refused) {
-    opening.judge(admitted, refused);
+    programStart.decide(admitted, refused);
   }
 
   /**
    * While the store is away, a turn runs and its events wait for the store; that is worth an
    * engine's time only if engines have time to spare.
    */
-  boolean mustNotWaitForStore() {
+  boolean mustRefuseWithoutStore() {
     return !context.storeHealth().reachable()
         && !context
             .admission()
@@ -55,7 +55,7 @@
    */
   ReservationStatus reserve(long giveUpNanos, Runnable onDecided) {
     String program = call.caller().scoped(attributes.programId());
-    programKnown = context.budgets().isKnown(program) || opening.begunElsewhere();
+    programKnown = context.budgets().isKnown(program) || programStart.startedElsewhere();
     reservation =
         context
             .budgets()
@@ -64,19 +64,19 @@
                 attributes.tokenBudget(),
                 attributes.maxOutputTokens(),
                 giveUpNanos,
-                () -> onGrantDecided(onDecided));
+                () -> onStatusDecided(onDecided));
     return reservation.status();
   }
 
-  private void onGrantDecided(Runnable onDecided) {
-    if (!programKnown && attributes.firstLine() && reservation.programStartedHere()) {
-      opening.opened();
+  private void onStatusDecided(Runnable onDecided) {
+    if (!programKnown && attributes.firstConversation() && reservation.programStartedHere()) {
+      programStart.recordStart();
     }
     onDecided.run();
   }
 
   /** The decision on its tokens. */
-  ReservationStatus grant() {
+  ReservationStatus status() {
     return reservation == null ? ReservationStatus.GRANTED : reservation.status();
   }
 
@@ -86,14 +86,14 @@
    * and surely affordable then. Its sub-agents are not: a program that loops starts one after the
    * other.
    */
-  boolean allowsSending() {
-    boolean likelyNew = !programKnown && attributes.firstLine();
+  boolean maySend() {
+    boolean likelyNew = !programKnown && attributes.firstConversation();
     boolean likelyGranted = likelyNew || !context.storeHealth().reachable();
-    return grant() != ReservationStatus.PENDING || likelyGranted;
+    return status() != ReservationStatus.PENDING || likelyGranted;
   }
 
   /** Notes tokens that were handed to the caller. */
-  void used(int tokens) {
+  void recordUse(int tokens) {
     if (reservation != null) {
       reservation.use(tokens);
     }
@@ -101,7 +101,7 @@
 
   /** The turn is over. */
   void close() {
-    opening.close();
+    programStart.close();
     if (reservation != null) {
       reservation.close();
     }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnChain.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnChain.java
@@ -9,7 +9,7 @@
 
 /** The turns that a call continues, and its own turn, as the history keeps them. */
 final class TurnChain {
-  private static final long LOOKUP_PATIENCE_MILLIS = 1_000;
+  private static final long LOOKUP_TIMEOUT_MILLIS = 1_000;
 
   private final GatewayContext context;
   private final AuthorizedCall call;
@@ -21,30 +21,30 @@
   }
 
   /** Finds the turn that the call continues, and all that this one continues. */
-  void findPrevious(Consumer<Lookup> answer) {
+  void findPrevious(Consumer<Lookup> callback) {
     CallAttributes attributes = call.attributes();
-    long giveUpNanos = context.eventLoop().nanoTime() + LOOKUP_PATIENCE_MILLIS * 1_000_000;
+    long giveUpNanos = context.eventLoop().nanoTime() + LOOKUP_TIMEOUT_MILLIS * 1_000_000;
     String programId = Objects.requireNonNullElse(attributes.programId(), "");
     ProgramId program = new ProgramId(call.caller().scoped(programId));
     String previousTurn = call.caller().scoped(attributes.previousTurn());
-    context.history().find(program, previousTurn, giveUpNanos, found -> onFound(found, answer));
+    context.history().find(program, previousTurn, giveUpNanos, lookup -> onFound(lookup, callback));
   }
 
-  private void onFound(Lookup lookup, Consumer<Lookup> answer) {
+  private void onFound(Lookup lookup, Consumer<Lookup> callback) {
     if (lookup instanceof Lookup.Found found) {
       ancestors = found.ids();
     }
-    answer.accept(lookup);
+    callback.accept(lookup);
   }
 
   /**
    * Keeps the call's own turn.
    *
-   * @param answer hears whether the store has it; not later than the call's deadline
+   * @param callback hears whether the store has it; not later than the call's deadline
    */
-  void keep(byte[] output, Consumer<Boolean> answer) {
+  void store(byte[] output, Consumer<Boolean> callback) {
     String turnId = call.caller().scoped(call.attributes().requestId());
     StoredTurn turn = new StoredTurn(turnId, ancestors, call.request().body(), output);
-    context.history().save(turn, call.deadlineNanos(), answer);
+    context.history().save(turn, call.deadlineNanos(), callback);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/WaitQueue.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/WaitQueue.java
@@ -9,41 +9,41 @@
 import org.baykeel.gateway.runtime.EventLoop;
 
 /**
- * The requests of one node that wait until an engine has a place, by what they need of an engine.
- * When a place is expected the most urgent of them is woken: the one whose program has least time
- * left until its aim or until its caller leaves. Those that came too late for their aim, or have
- * none, come after all others, by their deadlines.
+ * The requests of one node that wait until an engine has a place, by what they requirement of an
+ * engine. When a place is expected the most urgent of them is woken: the one whose program has
+ * least time left until its aim or until its caller leaves. Those that came too late for their aim,
+ * or have none, come after all others, by their deadlines.
  */
 final class WaitQueue {
   private static final Comparator<Ticket> MOST_URGENT_FIRST =
-      Comparator.comparing(Ticket::hasAim)
+      Comparator.comparing(Ticket::canMeetTarget)
           .reversed()
           .thenComparingLong(Ticket::dueNanos)
           .thenComparingLong(Ticket::order);
 
   /** Engines may come, or tell of room, without a word to this queue. */
-  private static final long LONGEST_SLEEP_MILLIS = 100;
+  private static final long MAX_CHECK_INTERVAL_MILLIS = 100;
 
   private final EventLoop eventLoop;
-  private final Map<Need, Line> lines = new HashMap<>();
+  private final Map<Requirement, Group> groups = new HashMap<>();
   private long order;
 
   /**
-   * What engines must offer; requests that need the same wait in one line.
+   * What engines must offer; requests that requirement the same wait in one line.
    *
    * @param service the service that is to run them
    * @param residency where they may run
    * @param repeatable whether they may go to engines that lost requests lately
    */
-  record Need(String service, Residency residency, boolean repeatable) {}
+  record Requirement(String service, Residency residency, boolean repeatable) {}
 
   /** A request that waits. */
   interface Waiter {
     /** When an engine is expected to have a place; {@link Long#MAX_VALUE} if none takes work. */
-    long nextPlaceNanos();
+    long nextCapacityNanos();
 
     /** A place is expected now, or no engine takes work any more; the wait is over. */
-    void onPlaceExpected();
+    void onCapacityExpected();
 
     /** The wait is over since the time that it may take is. */
     void onWaitTooLong();
@@ -51,24 +51,29 @@
 
   /** The place of a request in its line. */
   final class Ticket {
-    private final Need need;
-    private final boolean hasAim;
+    private final Requirement requirement;
+    private final boolean canMeetTarget;
     private final long dueNanos;
     private final long giveUpNanos;
     private final Waiter waiter;
     private final long order;
 
-    private Ticket(Need need, boolean hasAim, long dueNanos, long giveUpNanos, Waiter waiter) {
-      this.need = need;
-      this.hasAim = hasAim;
+    private Ticket(
+        Requirement requirement,
+        boolean canMeetTarget,
+        long dueNanos,
+        long giveUpNanos,
+        Waiter waiter) {
+      this.requirement = requirement;
+      this.canMeetTarget = canMeetTarget;
       this.dueNanos = dueNanos;
       this.giveUpNanos = giveUpNanos;
       this.waiter = waiter;
       this.order = WaitQueue.this.order++;
     }
 
-    private boolean hasAim() {
-      return hasAim;
+    private boolean canMeetTarget() {
+      return canMeetTarget;
     }
 
     private long dueNanos() {
@@ -81,28 +86,28 @@
 
     /** Ends the wait; the waiter hears nothing more. May be repeated. */
     void leave() {
-      Line line = lines.get(need);
-      if (line != null) {
-        line.remove(this);
+      Group group = groups.get(requirement);
+      if (group != null) {
+        group.remove(this);
       }
     }
   }
 
-  /** Requests that need the same, and one timer for all of them. */
-  private final class Line {
-    private final Need need;
+  /** Requests that requirement the same, and one timer for all of them. */
+  private final class Group {
+    private final Requirement requirement;
     private final TreeSet<Ticket> tickets = new TreeSet<>(MOST_URGENT_FIRST);
     private EventLoop.Timer timer;
 
-    private Line(Need need) {
-      this.need = need;
+    private Group(Requirement requirement) {
+      this.requirement = requirement;
     }
 
     private void remove(Ticket ticket) {
       tickets.remove(ticket);
       if (tickets.isEmpty()) {
         cancelTimer();
-        lines.remove(need, this);
+        groups.remove(requirement, this);
       }
     }
 
@@ -120,34 +125,34 @@
         return;
       }
       long now = eventLoop.nanoTime();
-      long nextNanos = tickets.first().waiter.nextPlaceNanos();
-      if (nextNanos == Long.MAX_VALUE) {
-        nextNanos = now;
+      long nextCheckNanos = tickets.first().waiter.nextCapacityNanos();
+      if (nextCheckNanos == Long.MAX_VALUE) {
+        nextCheckNanos = now;
       }
       for (Ticket ticket : tickets) {
-        nextNanos = Math.min(nextNanos, ticket.giveUpNanos);
+        nextCheckNanos = Math.min(nextCheckNanos, ticket.giveUpNanos);
       }
-      long millis = Math.max(0, (nextNanos - now + 999_999) / 1_000_000);
-      millis = Math.min(millis, LONGEST_SLEEP_MILLIS);
+      long millis = Math.max(0, (nextCheckNanos - now + 999_999) / 1_000_000);
+      millis = Math.min(millis, MAX_CHECK_INTERVAL_MILLIS);
       timer = eventLoop.schedule(millis, this::onTimer);
     }
 
     private void onTimer() {
       timer = null;
-      endLongWaits();
-      for (int most = tickets.size(); most > 0 && !tickets.isEmpty(); most--) {
+      endExpiredWaits();
+      for (int remaining = tickets.size(); remaining > 0 && !tickets.isEmpty(); remaining--) {
         Ticket first = tickets.first();
-        long nextNanos = first.waiter.nextPlaceNanos();
-        if (nextNanos != Long.MAX_VALUE && nextNanos - eventLoop.nanoTime() > 0) {
+        long nextCheckNanos = first.waiter.nextCapacityNanos();
+        if (nextCheckNanos != Long.MAX_VALUE && nextCheckNanos - eventLoop.nanoTime() > 0) {
           break;
         }
         remove(first);
-        first.waiter.onPlaceExpected();
+        first.waiter.onCapacityExpected();
       }
       arm();
     }
 
-    private void endLongWaits() {
+    private void endExpiredWaits() {
       long now = eventLoop.nanoTime();
       for (Ticket ticket : new ArrayList<>(tickets)) {
         if (ticket.giveUpNanos - now <= 0) {
@@ -162,37 +167,43 @@
     this.eventLoop = eventLoop;
   }
 
-  /** Whether requests with a need wait, before which a new one must not go. */
-  boolean anyWaits(Need need) {
-    return lines.containsKey(need);
+  /** Whether requests with a requirement wait, before which a new one must not go. */
+  boolean hasWaiting(Requirement requirement) {
+    return groups.containsKey(requirement);
   }
 
-  /** How many requests with a need wait. */
-  int waiting(Need need) {
-    Line line = lines.get(need);
-    return line == null ? 0 : line.tickets.size();
+  /** How many requests with a requirement wait. */
+  int waiting(Requirement requirement) {
+    Group group = groups.get(requirement);
+    return group == null ? 0 : group.tickets.size();
   }
 
-  /** A request with a need has left its engine: a place may be expected earlier now. */
-  void onPlaceFree(Need need) {
-    Line line = lines.get(need);
-    if (line != null) {
-      line.arm();
+  /** A request with a requirement has left its engine: a place may be expected earlier now. */
+  void onSlotFree(Requirement requirement) {
+    Group group = groups.get(requirement);
+    if (group != null) {
+      group.arm();
     }
   }
 
   /**
    * Begins a wait.
    *
-   * @param hasAim whether the request came early enough to end before its program is to be over
+   * @param canMeetTarget whether the request came early enough to end before its program is to be
+   *     over
    * @param dueNanos that time or when its caller no longer waits, whichever is first
    * @param giveUpNanos when the wait is no longer worth its while
    */
-  Ticket join(Need need, boolean hasAim, long dueNanos, long giveUpNanos, Waiter waiter) {
-    Ticket ticket = new Ticket(need, hasAim, dueNanos, giveUpNanos, waiter);
-    Line line = lines.computeIfAbsent(need, Line::new);
-    line.tickets.add(ticket);
-    line.arm();
+  Ticket add(
+      Requirement requirement,
+      boolean canMeetTarget,
+      long dueNanos,
+      long giveUpNanos,
+      Waiter waiter) {
+    Ticket ticket = new Ticket(requirement, canMeetTarget, dueNanos, giveUpNanos, waiter);
+    Group group = groups.computeIfAbsent(requirement, Group::new);
+    group.tickets.add(ticket);
+    group.arm();
     return ticket;
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/AdmissionShares.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/AdmissionShares.java
@@ -6,7 +6,7 @@
 @FunctionalInterface
 public interface AdmissionShares {
   /** The same share for all. */
-  AdmissionShares EVEN = (group, share, use) -> share;
+  AdmissionShares EVEN = (group, share, limitUse) -> share;
 
   /**
    * The share of programs like one that asks to begin that may do so. Asked once for each, also
@@ -14,8 +14,8 @@
    *
    * @param group what competes for the same room: programs of one kind at one service
    * @param share the share of all programs that may begin now, 0 to 1
-   * @param use what the tenant of the one that asks asked for lately
+   * @param limitUse what the tenant of the one that asks asked for lately
    * @return 0 to 1
    */
-  double shareOf(String group, double share, LimitUse use);
+  double shareOf(String group, double share, LimitUse limitUse);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/FairShares.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/FairShares.java
@@ -28,22 +28,22 @@
     this.log = log;
     metrics.gauge(
         "baykeel_gateway_opening_share_within_limit_thousandths",
-        () -> meanThousandths(LimitUse::withinLimit));
+        () -> meanShareThousandths(LimitUse::withinLimit));
     metrics.gauge(
         "baykeel_gateway_opening_share_beyond_limit_thousandths",
-        () -> meanThousandths(use -> !use.withinLimit()));
+        () -> meanShareThousandths(limitUse -> !limitUse.withinLimit()));
   }
 
-  private long meanThousandths(Predicate<LimitUse> tenants) {
+  private long meanShareThousandths(Predicate<LimitUse> tenants) {
     double mean =
-        groups.values().stream().mapToDouble(group -> group.mean(tenants)).average().orElse(0);
+        groups.values().stream().mapToDouble(group -> group.meanShare(tenants)).average().orElse(0);
     return Math.round(1_000 * mean);
   }
 
   @Override
-  public double shareOf(String group, double shareOfAll, LimitUse use) {
+  public double shareOf(String group, double shareOfAll, LimitUse limitUse) {
     return groups
         .computeIfAbsent(group, name -> new GroupShares(name, eventLoop, log))
-        .shareOf(shareOfAll, use);
+        .shareOf(shareOfAll, limitUse);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/GroupShares.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/GroupShares.java
@@ -11,29 +11,29 @@
  */
 final class GroupShares {
   /** Nobody gets less than this part of what all get on average. */
-  static final double LEAST_PART = 0.25;
+  static final double MIN_PART_OF_MEAN = 0.25;
 
   /** With fewer observations the mix of tenants is not known. */
-  private static final double FEWEST_OBSERVATIONS = 6;
+  private static final double MIN_OBSERVATIONS = 6;
 
   /**
    * A tenant that was silent for long counts as one that asks for this multiple: else all small
    * tenants together would pass whatever the share.
    */
-  private static final double LEAST_MULTIPLE = 0.05;
+  private static final double MIN_MULTIPLE = 0.05;
 
   /** Halvings of the range in which the level lies. */
-  private static final int HALVINGS = 30;
+  private static final int BISECTION_STEPS = 30;
 
   private static final long LOG_INTERVAL_NANOS = 1_000_000_000L;
 
   /** A smaller change of the level is not worth a line. */
-  private static final double LOGGED_CHANGE = 0.1;
+  private static final double MIN_LOGGED_CHANGE = 0.1;
 
   private final String group;
   private final EventLoop eventLoop;
   private final GatewayLog log;
-  private final LimitUseSamples uses = new LimitUseSamples();
+  private final LimitUseSamples samples = new LimitUseSamples();
   private double share = 1;
   private double level = Double.POSITIVE_INFINITY;
   private double loggedLevel = Double.POSITIVE_INFINITY;
@@ -52,38 +52,38 @@
   }
 
   /** The mean share of the tenants of a class that asked lately; 0 if there are none. */
-  double mean(Predicate<LimitUse> tenants) {
-    return uses.mean(multiple -> tenants.test(new LimitUse(multiple)), this::atLevel);
+  double meanShare(Predicate<LimitUse> tenants) {
+    return samples.mean(multiple -> tenants.test(new LimitUse(multiple)), this::atLevel);
   }
 
-  double shareOf(double shareOfAll, LimitUse use) {
+  double shareOf(double shareOfAll, LimitUse limitUse) {
     long now = eventLoop.nanoTime();
-    uses.add(use, now);
+    samples.add(limitUse, now);
     share = Math.max(0, Math.min(1, shareOfAll));
-    if (share < 1 && uses.count() < FEWEST_OBSERVATIONS) {
+    if (share < 1 && samples.count() < MIN_OBSERVATIONS) {
       return share;
     }
     level = share < 1 ? findLevel() : Double.POSITIVE_INFINITY;
     logChange(now);
-    return atLevel(use.multiple());
+    return atLevel(limitUse.multiple());
   }
 
   private double atLevel(double multiple) {
     return shareAt(level, multiple);
   }
 
-  private double shareAt(double someLevel, double multiple) {
-    double counted = Math.max(LEAST_MULTIPLE, multiple);
-    double wanted = counted <= someLevel ? 1 : someLevel / counted;
-    return Math.max(LEAST_PART * share, wanted);
+  private double shareAt(double candidateLevel, double multiple) {
+    double countedMultiple = Math.max(MIN_MULTIPLE, multiple);
+    double shareForLevel = countedMultiple <= candidateLevel ? 1 : candidateLevel / countedMultiple;
+    return Math.max(MIN_PART_OF_MEAN * share, shareForLevel);
   }
 
   private double findLevel() {
     double low = 0;
-    double high = Math.max(LEAST_MULTIPLE, uses.largestMultiple());
-    for (int i = 0; i < HALVINGS; i++) {
+    double high = Math.max(MIN_MULTIPLE, samples.largestMultiple());
+    for (int i = 0; i < BISECTION_STEPS; i++) {
       double middle = (low + high) / 2;
-      if (uses.mean(multiple -> true, multiple -> shareAt(middle, multiple)) < share) {
+      if (samples.mean(multiple -> true, multiple -> shareAt(middle, multiple)) < share) {
         low = middle;
       } else {
         high = middle;
@@ -96,13 +96,13 @@
     boolean changed =
         Double.isInfinite(level) || Double.isInfinite(loggedLevel)
             ? level != loggedLevel
-            : Math.abs(level - loggedLevel) > LOGGED_CHANGE * loggedLevel;
+            : Math.abs(level - loggedLevel) > MIN_LOGGED_CHANGE * loggedLevel;
     if (!changed || nowNanos - loggedNanos < LOG_INTERVAL_NANOS) {
       return;
     }
     loggedLevel = level;
     loggedNanos = nowNanos;
-    int within = uses.count(multiple -> new LimitUse(multiple).withinLimit());
+    int within = samples.count(multiple -> new LimitUse(multiple).withinLimit());
     log.write(
         GatewayEvent.SHARES_CHANGED,
         "level",
@@ -112,7 +112,7 @@
         "within",
         within,
         "beyond",
-        uses.count(multiple -> true) - within,
+        samples.count(multiple -> true) - within,
         "group",
         group);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/LimitUseSamples.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/LimitUseSamples.java
@@ -7,26 +7,26 @@
 
 /** What the tenants of the last programs that asked to begin here used; older ones count less. */
 final class LimitUseSamples {
-  private static final int CAPACITY = 64;
+  private static final int MAX_SAMPLES = 64;
 
   /**
    * The age at which an observation counts e times less: some programs long, and part of a rush.
    */
-  private static final double FADING_NANOS = 5e9;
+  private static final double DECAY_NANOS = 5e9;
 
-  private final double[] multiples = new double[CAPACITY];
-  private final long[] seenNanos = new long[CAPACITY];
-  private final double[] weights = new double[CAPACITY];
+  private final double[] multiples = new double[MAX_SAMPLES];
+  private final long[] observedNanos = new long[MAX_SAMPLES];
+  private final double[] weights = new double[MAX_SAMPLES];
   private int next;
   private int size;
 
-  void add(LimitUse use, long nowNanos) {
-    multiples[next] = use.multiple();
-    seenNanos[next] = nowNanos;
-    next = (next + 1) % CAPACITY;
-    size = Math.min(CAPACITY, size + 1);
+  void add(LimitUse limitUse, long nowNanos) {
+    multiples[next] = limitUse.multiple();
+    observedNanos[next] = nowNanos;
+    next = (next + 1) % MAX_SAMPLES;
+    size = Math.min(MAX_SAMPLES, size + 1);
     for (int i = 0; i < size; i++) {
-      weights[i] = Math.exp((seenNanos[i] - nowNanos) / FADING_NANOS);
+      weights[i] = Math.exp((observedNanos[i] - nowNanos) / DECAY_NANOS);
     }
   }
 
@@ -45,12 +45,12 @@
   }
 
   /** The weighted mean over all whose multiple is of a class; 0 if there are none. */
-  double mean(DoublePredicate multiple, DoubleUnaryOperator figure) {
+  double mean(DoublePredicate multiple, DoubleUnaryOperator value) {
     double sum = 0;
     double weight = 0;
     for (int i = 0; i < size; i++) {
       if (multiple.test(multiples[i])) {
-        sum += weights[i] * figure.applyAsDouble(multiples[i]);
+        sum += weights[i] * value.applyAsDouble(multiples[i]);
         weight += weights[i];
       }
     }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/LoadedService.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/ServiceSimulation.java
@@ -18,42 +18,42 @@
  * own. A turn takes a place of an engine, or waits for one, and takes longer the more run beside
  * it; callers leave turns that wait too long and come back once if they are refused.
  */
-final class LoadedService {
+final class ServiceSimulation {
   static final int ENGINES = 9;
-  private static final int PLACES = 8;
+  private static final int SLOTS = 8;
   private static final int NODES = 77;
   private static final int EVENTS = 10;
   private static final double FIRST_MILLIS = 15;
-  private static final double IDLE_GAP_MILLIS = 6;
-  private static final double GAP_MILLIS_PER_RUNNING = 0.75;
-  private static final long VIEW_EVERY_MILLIS = 100;
-  private static final long VIEW_LAG_MILLIS = 300;
+  private static final double IDLE_INTER_EVENT_MILLIS = 6;
+  private static final double INTER_EVENT_MILLIS_PER_RUNNING = 0.75;
+  private static final long REPORT_INTERVAL_MILLIS = 100;
+  private static final long REPORT_LAG_MILLIS = 300;
   private static final long PAUSE_MILLIS = 400;
   private static final long DEADLINE_MILLIS = 4_000;
-  private static final long TARGET_MILLIS = 250;
-  private static final double STAYS_AT_ITS_NODE = 0.5;
+  private static final long RESPONSE_TARGET_MILLIS = 250;
+  private static final double SAME_NODE_PROBABILITY = 0.5;
 
   final TestingEventLoop eventLoop = new TestingEventLoop();
   final List<Program> programs = new ArrayList<>();
   private final Random random;
   private final boolean admitsAll;
-  private final List<Place> engines = new ArrayList<>();
+  private final List<EngineState> engines = new ArrayList<>();
   private final List<Node> nodes = new ArrayList<>();
-  private int enginesLeft = ENGINES;
-  private boolean viewGone;
+  private int remainingEngines = ENGINES;
+  private boolean reportsLost;
 
-  LoadedService(long seed, boolean admitsAll) {
+  ServiceSimulation(long seed, boolean admitsAll) {
     this.random = new Random(seed);
     this.admitsAll = admitsAll;
     for (int i = 0; i < ENGINES; i++) {
-      engines.add(new Place());
+      engines.add(new EngineState());
     }
     restartNodes();
-    tellLoad();
+    reportLoad();
   }
 
   /** An engine as it is. */
-  private static final class Place {
+  private static final class EngineState {
     final ArrayDeque<Turn> waiting = new ArrayDeque<>();
     int running;
   }
@@ -66,8 +66,8 @@
             directory, new Random(random.nextLong()), AdmissionShares.EVEN, (event, fields) -> {});
 
     Node() {
-      for (int i = 0; i < enginesLeft; i++) {
-        directory.put(new EngineRecord("e" + i, "s", "10.0.0." + i, 80, "z", PLACES, false));
+      for (int i = 0; i < remainingEngines; i++) {
+        directory.put(new EngineRecord("e" + i, "s", "10.0.0." + i, 80, "z", SLOTS, false));
       }
     }
   }
@@ -75,59 +75,66 @@
   /** A program from its first ask on; times in milliseconds, 0 for what did not happen. */
   final class Program {
     final int turns = 3 + random.nextInt(6);
-    final long askedMillis = millis();
-    final long aimMillis;
-    final String kind;
+    final long requestedMillis = millis();
+    final long finishTargetMillis;
+    final String route;
     private final int rank;
     private int node = random.nextInt(NODES);
     private int turn;
-    private boolean askedAgain;
-    long begunMillis;
-    long endedMillis;
+    private boolean retried;
+    long startedMillis;
+    long finishedMillis;
     boolean refused;
 
-    Program(String kind, int rank) {
-      this.kind = kind;
+    Program(String route, int rank) {
+      this.route = route;
       this.rank = rank;
-      double idleTurn = FIRST_MILLIS + EVENTS * IDLE_GAP_MILLIS;
-      this.aimMillis =
-          Math.round(1.6 * (turns * idleTurn + (turns - 1) * PAUSE_MILLIS) + TARGET_MILLIS);
+      double idleTurn = FIRST_MILLIS + EVENTS * IDLE_INTER_EVENT_MILLIS;
+      this.finishTargetMillis =
+          Math.round(
+              1.6 * (turns * idleTurn + (turns - 1) * PAUSE_MILLIS) + RESPONSE_TARGET_MILLIS);
     }
 
-    boolean inAim() {
-      return endedMillis > 0 && endedMillis - begunMillis <= aimMillis;
+    boolean inTime() {
+      return finishedMillis > 0 && finishedMillis - startedMillis <= finishTargetMillis;
     }
 
-    private void ask() {
+    private void requestStart() {
       ProgramAdmission admission = nodes.get(node).admission;
-      AdmissionRequest opening =
+      AdmissionRequest request =
           new AdmissionRequest(
-              kind, rank, Caller.WITHOUT_KEYS, "s", TARGET_MILLIS, aimMillis, LimitUse.UNKNOWN);
-      AdmissionDecision judgement = admission.decide(opening, "r", "p", eventLoop.nanoTime());
-      if (admitsAll || judgement.admitted()) {
-        begunMillis = millis();
-        admission.programOpened(kind, aimMillis, eventLoop.nanoTime());
+              route,
+              rank,
+              Caller.WITHOUT_KEYS,
+              "s",
+              RESPONSE_TARGET_MILLIS,
+              finishTargetMillis,
+              LimitUse.UNKNOWN);
+      AdmissionDecision decision = admission.decide(request, "r", "p", eventLoop.nanoTime());
+      if (admitsAll || decision.admitted()) {
+        startedMillis = millis();
+        admission.programStarted(route, finishTargetMillis, eventLoop.nanoTime());
         nextTurn();
-      } else if (askedAgain) {
+      } else if (retried) {
         refused = true;
       } else {
-        askedAgain = true;
+        retried = true;
         node = random.nextInt(NODES);
-        eventLoop.schedule(judgement.retryMillis(), this::ask);
+        eventLoop.schedule(decision.retryMillis(), this::requestStart);
       }
     }
 
     private void nextTurn() {
-      node = random.nextDouble() < STAYS_AT_ITS_NODE ? node : random.nextInt(NODES);
+      node = random.nextDouble() < SAME_NODE_PROBABILITY ? node : random.nextInt(NODES);
       turn++;
-      nodes.get(node).admission.turnBegan(kind, toString(), eventLoop.nanoTime());
-      new Turn(this, nodes.get(node)).join();
+      nodes.get(node).admission.turnStarted(route, toString(), eventLoop.nanoTime());
+      new Turn(this, nodes.get(node)).enqueue();
     }
 
     private void turnEnded(Node at) {
       at.admission.turnEnded(toString(), eventLoop.nanoTime());
       if (turn == turns) {
-        endedMillis = millis();
+        finishedMillis = millis();
       } else {
         long pause = Math.round(PAUSE_MILLIS * (0.5 + random.nextDouble()));
         eventLoop.schedule(pause, this::nextTurn);
@@ -147,23 +154,25 @@
       this.node = node;
     }
 
-    void join() {
-      int one = random.nextInt(enginesLeft);
-      int other = random.nextInt(enginesLeft);
-      at = load(one) <= load(other) ? one : other;
+    void enqueue() {
+      int firstChoice = random.nextInt(remainingEngines);
+      int secondChoice = random.nextInt(remainingEngines);
+      at = load(firstChoice) <= load(secondChoice) ? firstChoice : secondChoice;
       node.admission.requestSent("s", sentNanos);
       engines.get(at).waiting.add(this);
       serve(engines.get(at));
     }
 
-    void leave() {
-      node.admission.requestAnswered("s", sentNanos);
+    void endWait() {
+      node.admission.requestWaitEnded("s", sentNanos);
     }
 
-    void begin(Place place) {
-      double gap = IDLE_GAP_MILLIS + GAP_MILLIS_PER_RUNNING * place.running;
+    void start(EngineState state) {
+      double interEventMillis =
+          IDLE_INTER_EVENT_MILLIS + INTER_EVENT_MILLIS_PER_RUNNING * state.running;
       eventLoop.schedule(Math.round(FIRST_MILLIS), this::observeFirst);
-      eventLoop.schedule(Math.round(FIRST_MILLIS + EVENTS * gap), () -> end(place, gap));
+      eventLoop.schedule(
+          Math.round(FIRST_MILLIS + EVENTS * interEventMillis), () -> end(state, interEventMillis));
     }
 
     private void observeFirst() {
@@ -172,18 +181,18 @@
       double expected = engine.expectedFirstEventMillis(List.of());
       engine.performance().observeFirstEvent(0, first);
       engine.performance().observeNewTokens(0);
-      leave();
+      endWait();
       node.admission.observeWait("s", first - expected, eventLoop.nanoTime());
     }
 
-    private void end(Place place, double gap) {
-      place.running--;
+    private void end(EngineState state, double interEventMillis) {
+      state.running--;
       Engine engine = node.directory.ofService("s").get(at % node.directory.size());
       for (int i = 1; i < EVENTS; i++) {
-        engine.observeInterEventTime(gap);
+        engine.observeInterEventTime(interEventMillis);
       }
       engine.performance().observeEvents(EVENTS);
-      serve(place);
+      serve(state);
       program.turnEnded(node);
     }
   }
@@ -192,32 +201,33 @@
     return engines.get(engine).waiting.size() + engines.get(engine).running;
   }
 
-  private void serve(Place place) {
-    while (place.running < PLACES && !place.waiting.isEmpty()) {
-      Turn turn = place.waiting.poll();
+  private void serve(EngineState state) {
+    while (state.running < SLOTS && !state.waiting.isEmpty()) {
+      Turn turn = state.waiting.poll();
       if (millis() - turn.sentNanos / 1_000_000 < DEADLINE_MILLIS) {
-        place.running++;
-        turn.begin(place);
+        state.running++;
+        turn.start(state);
       } else {
-        turn.leave();
+        turn.endWait();
       }
     }
   }
 
-  private void tellLoad() {
+  private void reportLoad() {
     List<EngineLoad> loads = new ArrayList<>();
-    for (int i = 0; i < enginesLeft && !viewGone; i++) {
+    for (int i = 0; i < remainingEngines && !reportsLost; i++) {
       loads.add(new EngineLoad(engines.get(i).waiting.size(), engines.get(i).running, 0, 0));
     }
     long asOf = eventLoop.nanoTime();
-    eventLoop.schedule(VIEW_LAG_MILLIS, () -> nodes.forEach(node -> hear(node, loads, asOf)));
-    eventLoop.schedule(VIEW_EVERY_MILLIS, this::tellLoad);
+    eventLoop.schedule(
+        REPORT_LAG_MILLIS, () -> nodes.forEach(node -> receiveReport(node, loads, asOf)));
+    eventLoop.schedule(REPORT_INTERVAL_MILLIS, this::reportLoad);
   }
 
-  private static void hear(Node node, List<EngineLoad> loads, long asOf) {
-    List<Engine> known = node.directory.ofService("s");
-    for (int i = 0; i < Math.min(loads.size(), known.size()); i++) {
-      known.get(i).load().reported(loads.get(i), asOf);
+  private static void receiveReport(Node node, List<EngineLoad> loads, long asOf) {
+    List<Engine> knownEngines = node.directory.ofService("s");
+    for (int i = 0; i < Math.min(loads.size(), knownEngines.size()); i++) {
+      knownEngines.get(i).load().reported(loads.get(i), asOf);
     }
   }
 
@@ -230,24 +240,24 @@
   }
 
   /** Nobody hears of the load of engines any more. */
-  void loseView() {
-    viewGone = true;
+  void loseReports() {
+    reportsLost = true;
   }
 
   /** The last engines finish what they run and get nothing new; what waits there goes elsewhere. */
   void loseEngines(int count) {
-    List<Place> leaving = engines.subList(enginesLeft - count, enginesLeft);
-    enginesLeft -= count;
+    List<EngineState> removed = engines.subList(remainingEngines - count, remainingEngines);
+    remainingEngines -= count;
     for (Node node : nodes) {
-      for (int i = enginesLeft; i < enginesLeft + count; i++) {
+      for (int i = remainingEngines; i < remainingEngines + count; i++) {
         node.directory.remove("e" + i, 0, eventLoop.nanoTime());
       }
     }
-    for (Place place : leaving) {
-      List<Turn> moved = List.copyOf(place.waiting);
-      place.waiting.clear();
-      moved.forEach(Turn::leave);
-      moved.forEach(Turn::join);
+    for (EngineState state : removed) {
+      List<Turn> requeued = List.copyOf(state.waiting);
+      state.waiting.clear();
+      requeued.forEach(Turn::endWait);
+      requeued.forEach(Turn::enqueue);
     }
   }
 
@@ -256,16 +266,16 @@
     demand("kind", 0, perSecond, forMillis);
   }
 
-  void demand(String kind, int rank, double perSecond, long forMillis) {
+  void demand(String route, int rank, double perSecond, long forMillis) {
     for (int i = 0; i < perSecond * forMillis / 1e3; i++) {
-      eventLoop.schedule(random.nextInt((int) forMillis), () -> begin(kind, rank));
+      eventLoop.schedule(random.nextInt((int) forMillis), () -> start(route, rank));
     }
   }
 
-  private void begin(String kind, int rank) {
-    Program program = new Program(kind, rank);
+  private void start(String route, int rank) {
+    Program program = new Program(route, rank);
     programs.add(program);
-    program.ask();
+    program.requestStart();
   }
 
   long millis() {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/TestAdmissionUnderLoad.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/TestAdmissionUnderLoad.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.function.Predicate;
-import org.baykeel.gateway.admission.LoadedService.Program;
+import org.baykeel.gateway.admission.ServiceSimulation.Program;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -18,149 +18,155 @@
   private static final long AFTER_MILLIS = 12_000;
 
   /** From ordinary demand to full use takes the time of a program. */
-  private static final long FILLING_MILLIS = 3_000;
+  private static final long RISE_MILLIS = 3_000;
 
   private static final long RECOVERY_MILLIS = 3_000;
-  private static final double ORDINARY = 0.6;
-  private static final double OF_THE_BEST = 0.9;
-  private static final double IN_AIM_AGAIN = 0.95;
-  private static final double HARDLY_ONE = 0.01;
+  private static final double ORDINARY_PART = 0.6;
+  private static final double MIN_PART_OF_BEST = 0.9;
+  private static final double MIN_IN_TIME = 0.95;
+  private static final double MAX_REFUSED = 0.01;
 
   /** The most programs a second that end in their aim at any steady demand if none is refused. */
-  private static double best;
+  private static double bestPerSecond;
 
   private long burst;
   private long end;
 
   @BeforeAll
-  static void findTheBest() {
+  static void findBestRate() {
     for (double perSecond = 60; perSecond <= 140; perSecond += 5) {
-      LoadedService service = new LoadedService(1, true);
+      ServiceSimulation service = new ServiceSimulation(1, true);
       service.demand(perSecond, 16_000);
       service.eventLoop.advance(16_000);
       long from = service.millis() - 10_000;
-      best =
+      bestPerSecond =
           Math.max(
-              best, count(service, program -> program.inAim() && program.endedMillis >= from) / 10);
+              bestPerSecond,
+              count(service, program -> program.inTime() && program.finishedMillis >= from) / 10);
     }
   }
 
-  private static double count(LoadedService service, Predicate<Program> which) {
+  private static double count(ServiceSimulation service, Predicate<Program> which) {
     return service.programs.stream().filter(which).count();
   }
 
-  private void play(LoadedService service, double roomLeft, Runnable atBurst, Runnable within) {
-    service.demand(best * ORDINARY, CALM_MILLIS);
+  private void simulate(
+      ServiceSimulation service,
+      double remainingPart,
+      Runnable atBurstStart,
+      Runnable duringBurst) {
+    service.demand(bestPerSecond * ORDINARY_PART, CALM_MILLIS);
     service.eventLoop.advance(CALM_MILLIS);
     burst = service.millis();
     end = burst + BURST_MILLIS;
-    atBurst.run();
-    service.demand(best * roomLeft * 3, BURST_MILLIS);
+    atBurstStart.run();
+    service.demand(bestPerSecond * remainingPart * 3, BURST_MILLIS);
     service.eventLoop.advance(BURST_MILLIS / 4);
-    within.run();
+    duringBurst.run();
     service.eventLoop.advance(BURST_MILLIS * 3 / 4);
-    service.demand(best * roomLeft * ORDINARY, AFTER_MILLIS);
+    service.demand(bestPerSecond * remainingPart * ORDINARY_PART, AFTER_MILLIS);
     service.eventLoop.advance(AFTER_MILLIS + 4_000);
   }
 
-  private double ofTheBest(LoadedService service) {
-    double inAim =
+  private double partOfBest(ServiceSimulation service) {
+    double inTime =
         count(
             service,
-            p -> p.inAim() && p.endedMillis >= burst + FILLING_MILLIS && p.endedMillis < end);
-    return inAim * 1e3 / (BURST_MILLIS - FILLING_MILLIS) / best;
+            p -> p.inTime() && p.finishedMillis >= burst + RISE_MILLIS && p.finishedMillis < end);
+    return inTime * 1e3 / (BURST_MILLIS - RISE_MILLIS) / bestPerSecond;
   }
 
-  private double inAim(LoadedService service, long fromMillis, long toMillis) {
-    Predicate<Program> begun = p -> p.begunMillis >= fromMillis && p.begunMillis < toMillis;
-    return count(service, begun.and(Program::inAim)) / count(service, begun);
+  private double inTime(ServiceSimulation service, long fromMillis, long toMillis) {
+    Predicate<Program> started = p -> p.startedMillis >= fromMillis && p.startedMillis < toMillis;
+    return count(service, started.and(Program::inTime)) / count(service, started);
   }
 
-  private double refused(LoadedService service, long fromMillis, long toMillis) {
-    Predicate<Program> asked = p -> p.askedMillis >= fromMillis && p.askedMillis < toMillis;
-    return count(service, asked.and(p -> p.refused)) / count(service, asked);
+  private double refused(ServiceSimulation service, long fromMillis, long toMillis) {
+    Predicate<Program> requested =
+        p -> p.requestedMillis >= fromMillis && p.requestedMillis < toMillis;
+    return count(service, requested.and(p -> p.refused)) / count(service, requested);
   }
 
-  private String figures(LoadedService service) {
+  private String figures(ServiceSimulation service) {
     return String.format(
         "of the best %.2f, in aim of those begun in the burst %.2f and after the recovery %.3f,"
             + " refused before %.4f and after the recovery %.4f",
-        ofTheBest(service),
-        inAim(service, burst, end),
-        inAim(service, end + RECOVERY_MILLIS, Long.MAX_VALUE),
+        partOfBest(service),
+        inTime(service, burst, end),
+        inTime(service, end + RECOVERY_MILLIS, Long.MAX_VALUE),
         refused(service, 0, burst),
         refused(service, end + RECOVERY_MILLIS, Long.MAX_VALUE));
   }
 
-  private void assertServed(LoadedService service, double ofTheBest) {
+  private void assertServed(ServiceSimulation service, double partOfBest) {
     String figures = figures(service);
-    assertTrue(ofTheBest(service) >= ofTheBest, figures);
-    assertTrue(inAim(service, end + RECOVERY_MILLIS, Long.MAX_VALUE) >= IN_AIM_AGAIN, figures);
-    assertTrue(refused(service, 0, burst) < HARDLY_ONE, figures);
-    assertTrue(refused(service, end + RECOVERY_MILLIS, Long.MAX_VALUE) < HARDLY_ONE, figures);
+    assertTrue(partOfBest(service) >= partOfBest, figures);
+    assertTrue(inTime(service, end + RECOVERY_MILLIS, Long.MAX_VALUE) >= MIN_IN_TIME, figures);
+    assertTrue(refused(service, 0, burst) < MAX_REFUSED, figures);
+    assertTrue(refused(service, end + RECOVERY_MILLIS, Long.MAX_VALUE) < MAX_REFUSED, figures);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void threeTimesTheRoomForEightSeconds(long seed) {
-    LoadedService service = new LoadedService(seed, false);
-    play(service, 1, () -> {}, () -> {});
-    assertServed(service, OF_THE_BEST);
+  void tripleDemandForEightSeconds(long seed) {
+    ServiceSimulation service = new ServiceSimulation(seed, false);
+    simulate(service, 1, () -> {}, () -> {});
+    assertServed(service, MIN_PART_OF_BEST);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void threeTimesTheRoomThatIsLeftWhenAThirdOfTheEnginesLeave(long seed) {
-    LoadedService service = new LoadedService(seed, false);
-    play(service, 2.0 / 3, () -> service.loseEngines(LoadedService.ENGINES / 3), () -> {});
-    assertServed(service, OF_THE_BEST * 2 / 3);
+  void tripleDemandWhenAThirdOfTheEnginesIsRemoved(long seed) {
+    ServiceSimulation service = new ServiceSimulation(seed, false);
+    simulate(service, 2.0 / 3, () -> service.loseEngines(ServiceSimulation.ENGINES / 3), () -> {});
+    assertServed(service, MIN_PART_OF_BEST * 2 / 3);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void threeTimesTheRoomWhileTheViewIsGone(long seed) {
-    LoadedService service = new LoadedService(seed, false);
-    play(service, 1, () -> {}, service::loseView);
-    assertServed(service, OF_THE_BEST);
+  void tripleDemandWhileLoadReportsAreLost(long seed) {
+    ServiceSimulation service = new ServiceSimulation(seed, false);
+    simulate(service, 1, () -> {}, service::loseReports);
+    assertServed(service, MIN_PART_OF_BEST);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void threeTimesTheRoomWhereThereNeverWasAView(long seed) {
-    LoadedService service = new LoadedService(seed, false);
-    service.loseView();
-    play(service, 1, () -> {}, () -> {});
-    assertServed(service, OF_THE_BEST);
+  void tripleDemandWithoutAnyLoadReport(long seed) {
+    ServiceSimulation service = new ServiceSimulation(seed, false);
+    service.loseReports();
+    simulate(service, 1, () -> {}, () -> {});
+    assertServed(service, MIN_PART_OF_BEST);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void threeTimesTheRoomWhileAllNodesRestart(long seed) {
-    LoadedService service = new LoadedService(seed, false);
-    play(service, 1, () -> {}, service::restartNodes);
-    assertServed(service, OF_THE_BEST);
+  void tripleDemandWhileAllNodesRestart(long seed) {
+    ServiceSimulation service = new ServiceSimulation(seed, false);
+    simulate(service, 1, () -> {}, service::restartNodes);
+    assertServed(service, MIN_PART_OF_BEST);
   }
 
   @ParameterizedTest(name = "{0} of the room for twenty seconds")
   @ValueSource(doubles = {0.3, 0.6, 0.75})
-  void ordinaryDemandIsServedInItsAimAndHardlyAnybodyIsRefused(double partOfRoom) {
-    LoadedService service = new LoadedService(1, false);
-    service.demand(best * partOfRoom, 20_000);
+  void ordinaryDemandIsServedInTimeAndHardlyAnyProgramIsRefused(double partOfCapacity) {
+    ServiceSimulation service = new ServiceSimulation(1, false);
+    service.demand(bestPerSecond * partOfCapacity, 20_000);
     service.eventLoop.advance(24_000);
-    assertTrue(refused(service, 0, Long.MAX_VALUE) < HARDLY_ONE, figures(service));
-    assertTrue(inAim(service, 1, Long.MAX_VALUE) >= IN_AIM_AGAIN, figures(service));
+    assertTrue(refused(service, 0, Long.MAX_VALUE) < MAX_REFUSED, figures(service));
+    assertTrue(inTime(service, 1, Long.MAX_VALUE) >= MIN_IN_TIME, figures(service));
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void twiceTheRoomOfTwoKindsServesTheUrgentNoLessAndStarvesNone(long seed) {
-    LoadedService service = new LoadedService(seed, false);
-    service.demand("urgent", 0, best * ORDINARY / 2, CALM_MILLIS);
-    service.demand("other", 2, best * ORDINARY / 2, CALM_MILLIS);
+  void doubleDemandOfTwoRoutesServesTheUrgentRouteNoLessAndStarvesNeither(long seed) {
+    ServiceSimulation service = new ServiceSimulation(seed, false);
+    service.demand("urgent", 0, bestPerSecond * ORDINARY_PART / 2, CALM_MILLIS);
+    service.demand("other", 2, bestPerSecond * ORDINARY_PART / 2, CALM_MILLIS);
     service.eventLoop.advance(CALM_MILLIS);
     burst = service.millis();
-    service.demand("urgent", 0, best, BURST_MILLIS);
-    service.demand("other", 2, best, BURST_MILLIS);
+    service.demand("urgent", 0, bestPerSecond, BURST_MILLIS);
+    service.demand("other", 2, bestPerSecond, BURST_MILLIS);
     service.eventLoop.advance(BURST_MILLIS + 4_000);
     double urgent = admitted(service, "urgent");
     double other = admitted(service, "other");
@@ -169,8 +175,9 @@
     assertTrue(other >= urgent / 4, shares);
   }
 
-  private double admitted(LoadedService service, String kind) {
-    Predicate<Program> asked = p -> p.kind.equals(kind) && p.askedMillis >= burst + FILLING_MILLIS;
-    return count(service, asked.and(p -> p.begunMillis > 0)) / count(service, asked);
+  private double admitted(ServiceSimulation service, String route) {
+    Predicate<Program> requested =
+        p -> p.route.equals(route) && p.requestedMillis >= burst + RISE_MILLIS;
+    return count(service, requested.and(p -> p.startedMillis > 0)) / count(service, requested);
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/TestProgramAdmission.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/TestProgramAdmission.java
@@ -19,47 +19,53 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class TestProgramAdmission {
-  private static final long TARGET_MILLIS = 200;
-  private static final long AIM_MILLIS = 3_000;
+  private static final long RESPONSE_TARGET_MILLIS = 200;
+  private static final long FINISH_TARGET_MILLIS = 3_000;
   private static final int SLOTS = 10;
   private static final long MILLI = 1_000_000;
 
   private final EngineDirectory engines = new EngineDirectory(1);
-  private final List<String> lines = new ArrayList<>();
+  private final List<String> loggedEvents = new ArrayList<>();
   private AdmissionShares shares = AdmissionShares.EVEN;
   private final ProgramAdmission admission =
       new ProgramAdmission(
           engines,
           new Random(1),
           (group, share, use) -> shares.shareOf(group, share, use),
-          (event, fields) -> lines.add(event.name()));
+          (event, fields) -> loggedEvents.add(event.name()));
   private long now = 1_000 * MILLI;
 
-  private static AdmissionRequest opening(String kind, int rank, long targetMillis) {
+  private static AdmissionRequest request(String route, int rank, long responseTargetMillis) {
     return new AdmissionRequest(
-        kind, rank, Caller.WITHOUT_KEYS, "s", targetMillis, AIM_MILLIS, LimitUse.UNKNOWN);
+        route,
+        rank,
+        Caller.WITHOUT_KEYS,
+        "s",
+        responseTargetMillis,
+        FINISH_TARGET_MILLIS,
+        LimitUse.UNKNOWN);
   }
 
-  private boolean admits(AdmissionRequest opening) {
-    return admission.decide(opening, "r", "p", now).admitted();
+  private boolean admits(AdmissionRequest request) {
+    return admission.decide(request, "r", "p", now).admitted();
   }
 
-  private int admitted(AdmissionRequest opening, int asked) {
+  private int admitted(AdmissionRequest request, int requests) {
     int admitted = 0;
-    for (int i = 0; i < asked; i++) {
-      admitted += admits(opening) ? 1 : 0;
+    for (int i = 0; i < requests; i++) {
+      admitted += admits(request) ? 1 : 0;
     }
     return admitted;
   }
 
-  private void waits(double millis) {
+  private void observeWaits(double millis) {
     for (int i = 0; i < 50; i++) {
       admission.observeWait("s", millis, now);
     }
   }
 
   /** An engine that tells how many requests it has. */
-  private void load(String service, int requests) {
+  private void reportLoad(String service, int requests) {
     if (engines.ofService(service).isEmpty()) {
       engines.put(new EngineRecord(service, service, "10.0.0.1", 80, "z", SLOTS, false));
     }
@@ -70,43 +76,43 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 3, 6})
-  void nobodyIsRefusedWhilePlacesAreFreeHoweverLongOwnRequestsWaited(int requests) {
-    load("s", requests);
-    waits(5_000);
-    assertEquals(100, admitted(opening("kind", 3, TARGET_MILLIS), 100));
+  void noProgramIsRefusedWhileSlotsAreFreeHoweverLongOwnRequestsWaited(int requests) {
+    reportLoad("s", requests);
+    observeWaits(5_000);
+    assertEquals(100, admitted(request("kind", 3, RESPONSE_TARGET_MILLIS), 100));
   }
 
   @Test
-  void withoutFreePlacesTheWaitDecides() {
-    load("s", 9);
-    waits(2_000);
-    assertTrue(admitted(opening("kind", 0, TARGET_MILLIS), 100) <= 6);
+  void withoutFreeSlotsTheWaitDecides() {
+    reportLoad("s", 9);
+    observeWaits(2_000);
+    assertTrue(admitted(request("kind", 0, RESPONSE_TARGET_MILLIS), 100) <= 6);
   }
 
   /** Before the first programs are over, events come twice as late as while there was room. */
   @Test
-  void withoutFreePlacesASlowPaceDecidesAlsoWhereTooLittleWasSeen() {
-    load("s", 5);
-    pace(30);
-    assertEquals(20, admitted(opening("kind", 0, TARGET_MILLIS), 20));
+  void withoutFreeSlotsALowTokenRateDecidesEvenWithFewObservations() {
+    reportLoad("s", 5);
+    observeInterEventTimes(30);
+    assertEquals(20, admitted(request("kind", 0, RESPONSE_TARGET_MILLIS), 20));
     now += 20 * MILLI;
-    load("s", 9);
-    pace(60);
-    assertTrue(admitted(opening("kind", 0, TARGET_MILLIS), 100) <= 6);
+    reportLoad("s", 9);
+    observeInterEventTimes(60);
+    assertTrue(admitted(request("kind", 0, RESPONSE_TARGET_MILLIS), 100) <= 6);
   }
 
-  private void pace(double gapMillis) {
+  private void observeInterEventTimes(double interEventMillis) {
     for (int i = 0; i < 1_000; i++) {
-      engines.performanceOf("s").observeInterEventTime(gapMillis);
+      engines.performanceOf("s").observeInterEventTime(interEventMillis);
     }
   }
 
   @ParameterizedTest
   @ValueSource(ints = {60, 80, 110, 140, 400})
-  void aLessUrgentKindNeverGetsMoreThanAnUrgentOneAndIsNotStarved(int waitMillis) {
-    waits(waitMillis);
-    AdmissionRequest urgent = opening("urgent", 0, TARGET_MILLIS);
-    AdmissionRequest other = opening("other", 2, TARGET_MILLIS * 10);
+  void aLessUrgentRouteNeverGetsMoreThanAnUrgentOneAndIsNotStarved(int waitMillis) {
+    observeWaits(waitMillis);
+    AdmissionRequest urgent = request("urgent", 0, RESPONSE_TARGET_MILLIS);
+    AdmissionRequest other = request("other", 2, RESPONSE_TARGET_MILLIS * 10);
     int urgentAdmitted = 0;
     int otherAdmitted = 0;
     for (int i = 0; i < 400; i++) {
@@ -120,10 +126,10 @@
   }
 
   @Test
-  void aKindWhoseOwnAimIsOutOfReachStillGetsAQuarterOfTheMostUrgentKindsShare() {
-    waits(120);
-    AdmissionRequest urgent = opening("urgent", 0, TARGET_MILLIS * 3);
-    AdmissionRequest other = opening("other", 1, 20);
+  void aRouteThatCannotMeetItsTargetStillGetsAQuarterOfTheMostUrgentRoutesShare() {
+    observeWaits(120);
+    AdmissionRequest urgent = request("urgent", 0, RESPONSE_TARGET_MILLIS * 3);
+    AdmissionRequest other = request("other", 1, 20);
     int urgentAdmitted = 0;
     int otherAdmitted = 0;
     for (int i = 0; i < 400; i++) {
@@ -136,26 +142,26 @@
   }
 
   @Test
-  void theShareFallsAtOnceAndRisesWithinThePredictedTimeOfAProgram() {
-    AdmissionRequest opening = opening("kind", 0, TARGET_MILLIS);
-    load("s", 9);
-    assertTrue(admission.unrestricted(opening, now));
-    waits(5_000);
-    assertFalse(admission.unrestricted(opening, now));
+  void theShareFallsAtOnceAndRisesWithinThePredictedDurationOfAProgram() {
+    AdmissionRequest request = request("kind", 0, RESPONSE_TARGET_MILLIS);
+    reportLoad("s", 9);
+    assertTrue(admission.unrestricted(request, now));
+    observeWaits(5_000);
+    assertFalse(admission.unrestricted(request, now));
     for (int i = 0; i < 100; i++) {
       now += 30 * MILLI;
-      load("s", 9);
-      waits(0);
+      reportLoad("s", 9);
+      observeWaits(0);
       // Until something is known of programs, one is taken to last four wanted answers.
       if (i < 20) {
-        assertFalse(admission.unrestricted(opening, now), i + " steps after the fall");
+        assertFalse(admission.unrestricted(request, now), i + " steps after the fall");
       }
     }
-    assertTrue(admission.unrestricted(opening, now));
+    assertTrue(admission.unrestricted(request, now));
   }
 
   @Test
-  void nodesTogetherAdmitTheShareAndNotAllAtTheSameMoment() {
+  void nodesTogetherAdmitTheShareButNotAllAtTheSameMoment() {
     double share = 0.3;
     List<AdmittedShare> nodes = new ArrayList<>();
     Random random = new Random(5);
@@ -163,55 +169,55 @@
       nodes.add(new AdmittedShare(random.nextDouble()));
     }
     for (int round = 0; round < 20; round++) {
-      long admitted = nodes.stream().filter(node -> node.admits(share)).count();
+      long admitted = nodes.stream().filter(node -> node.admitNext(share)).count();
       assertTrue(admitted > 77 * share / 2 && admitted < 77 * share * 2, admitted + " of 77");
     }
   }
 
   @Test
-  void aProgramThatCannotEndInItsTimeGivesWayOnlyWhereRoomIsScarce() {
+  void aProgramThatCannotFinishInTimeIsRefusedOnlyWhenCapacityIsScarce() {
     AdmissionRequest late =
         new AdmissionRequest(
-            "kind", 0, Caller.WITHOUT_KEYS, "s", TARGET_MILLIS, 20, LimitUse.UNKNOWN);
+            "kind", 0, Caller.WITHOUT_KEYS, "s", RESPONSE_TARGET_MILLIS, 20, LimitUse.UNKNOWN);
     assertTrue(admits(late));
-    waits(100);
+    observeWaits(100);
     assertEquals(AdmissionDecision.Cause.TOO_LATE, admission.decide(late, "r", "p", now).cause());
-    assertTrue(admitted(opening("kind", 0, TARGET_MILLIS), 10) > 0);
+    assertTrue(admitted(request("kind", 0, RESPONSE_TARGET_MILLIS), 10) > 0);
   }
 
   @Test
-  void aFullToolServiceLeavesNoRoomForTheKindThatCallsIt() {
-    load("s", 2);
-    waits(5_000);
-    admission.turnBegan("kind", "line", now);
-    admission.toolUsed("line", "tools");
-    load("tools", 10);
-    assertFalse(admission.unrestricted(opening("kind", 0, TARGET_MILLIS), now));
-    assertTrue(admission.unrestricted(opening("other", 0, TARGET_MILLIS), now));
+  void aFullToolServiceRestrictsTheRouteThatCallsIt() {
+    reportLoad("s", 2);
+    observeWaits(5_000);
+    admission.turnStarted("kind", "line", now);
+    admission.toolCalled("line", "tools");
+    reportLoad("tools", 10);
+    assertFalse(admission.unrestricted(request("kind", 0, RESPONSE_TARGET_MILLIS), now));
+    assertTrue(admission.unrestricted(request("other", 0, RESPONSE_TARGET_MILLIS), now));
     now += MILLI;
-    load("tools", 2);
-    assertTrue(admission.unrestricted(opening("kind", 0, TARGET_MILLIS), now));
+    reportLoad("tools", 2);
+    assertTrue(admission.unrestricted(request("kind", 0, RESPONSE_TARGET_MILLIS), now));
   }
 
   @Test
-  void whoGetsTheShareIsDecidedByShares() {
-    waits(100);
+  void theShareIsDistributedByAdmissionShares() {
+    observeWaits(100);
     shares = (group, share, use) -> use == LimitUse.UNKNOWN ? 0 : 1;
-    assertEquals(0, admitted(opening("kind", 0, TARGET_MILLIS), 20));
+    assertEquals(0, admitted(request("kind", 0, RESPONSE_TARGET_MILLIS), 20));
     shares = (group, share, use) -> 1;
-    assertEquals(20, admitted(opening("kind", 0, TARGET_MILLIS), 20));
+    assertEquals(20, admitted(request("kind", 0, RESPONSE_TARGET_MILLIS), 20));
   }
 
   @ParameterizedTest
   @ValueSource(ints = {70, 120, 5_000})
-  void refusedCallersAreSpreadOverTheTimeUntilThereIsRoom(int waitMillis) {
-    waits(waitMillis);
+  void retryDelaysOfRefusedCallersAreSpread(int waitMillis) {
+    observeWaits(waitMillis);
     List<Long> delays = new ArrayList<>();
     while (delays.size() < 200) {
-      AdmissionDecision judgement =
-          admission.decide(opening("kind", 0, TARGET_MILLIS), "r", "p", now);
-      if (!judgement.admitted()) {
-        delays.add(judgement.retryMillis());
+      AdmissionDecision decision =
+          admission.decide(request("kind", 0, RESPONSE_TARGET_MILLIS), "r", "p", now);
+      if (!decision.admitted()) {
+        delays.add(decision.retryMillis());
       }
     }
     long least = delays.stream().mapToLong(Long::longValue).min().orElseThrow();
@@ -221,14 +227,14 @@
   }
 
   @Test
-  void refusalsAndChangesOfTheShareAreTold() {
-    AdmissionRequest opening = opening("kind", 0, TARGET_MILLIS);
-    admits(opening);
-    assertEquals(List.of(), lines);
-    waits(5_000);
-    admitted(opening, 3);
-    assertTrue(lines.contains("ADMISSION_CHANGED"), lines::toString);
-    assertTrue(lines.contains("PROGRAM_REFUSED"), lines::toString);
-    assertEquals(1, lines.stream().filter("ADMISSION_CHANGED"::equals).count());
+  void refusalsAndChangesOfTheShareAreLogged() {
+    AdmissionRequest request = request("kind", 0, RESPONSE_TARGET_MILLIS);
+    admits(request);
+    assertEquals(List.of(), loggedEvents);
+    observeWaits(5_000);
+    admitted(request, 3);
+    assertTrue(loggedEvents.contains("ADMISSION_CHANGED"), loggedEvents::toString);
+    assertTrue(loggedEvents.contains("PROGRAM_REFUSED"), loggedEvents::toString);
+    assertEquals(1, loggedEvents.stream().filter("ADMISSION_CHANGED"::equals).count());
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/SingleEngineNode.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/SingleEngineNode.java
@@ -48,7 +48,7 @@
     StoreHealth storeHealth = new StoreHealth();
     storeHealth.answered(eventLoop.nanoTime());
     GatewayState state = new GatewayState(eventLoop, storeHealth, engines, (event, fields) -> {});
-    engineBorn(1_000);
+    startEngine(1_000);
     coordinator =
         new CallCoordinator(
             new GatewayContext(
@@ -112,7 +112,7 @@
   }
 
   /** The engine tells when it started. */
-  void engineBorn(long millis) {
+  void startEngine(long millis) {
     engines.put(
         new EngineRecord(ID.value(), "s", "10.0.0.1", 80, "z", 8, false, 0, millis),
         eventLoop.nanoTime());
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestCallAcrossRestart.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestCallAcrossEngineRestart.java
@@ -12,41 +12,41 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** A request is under way at the only engine of its service when that starts again. */
-class TestCallAcrossRestart {
+class TestCallAcrossEngineRestart {
   private final SingleEngineNode node = new SingleEngineNode(RouteKind.UNSAFE, false);
   private final TestingResponder responder = new TestingResponder();
 
   private enum End {
     BROKEN {
       @Override
-      void of(TestingTransport.Sent sent) {
+      void apply(TestingTransport.Sent sent) {
         sent.breakConnection();
       }
     },
-    WITHIN_ITS_ANSWER {
+    WITHIN_ITS_RESPONSE {
       @Override
-      void of(TestingTransport.Sent sent) {
+      void apply(TestingTransport.Sent sent) {
         sent.head(200, true, false, false).bytes("x").breakConnection();
       }
     },
     WHOLE {
       @Override
-      void of(TestingTransport.Sent sent) {
+      void apply(TestingTransport.Sent sent) {
         sent.head(200, true, false, false).bytes("x").complete();
       }
     };
 
-    abstract void of(TestingTransport.Sent sent);
+    abstract void apply(TestingTransport.Sent sent);
   }
 
   @ParameterizedTest
   @EnumSource(End.class)
-  void whatMayRunOnlyOnceStaysWithTheLifeThatItWasSentTo(End end) {
+  void aRequestThatMayRunOnlyOnceIsNotSentToTheNewIncarnation(End end) {
     node.call(responder);
     Engine former = node.engine();
-    node.engineBorn(2_000);
+    node.startEngine(2_000);
     Engine present = node.engine();
-    end.of(node.transport().last());
+    end.apply(node.transport().last());
     node.eventLoop().advance(4_000);
     assertEquals(1, node.transport().count());
     assertEquals(1, responder.received().size());
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestAdmission.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestCallAuthorization.java
@@ -45,7 +45,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-class TestAdmission {
+class TestCallAuthorization {
   private final TestingEventLoop eventLoop = new TestingEventLoop();
   private final TestingStore store = new TestingStore(eventLoop);
   private final StoreHealth storeHealth = new StoreHealth();
@@ -55,7 +55,7 @@
   private final ConfigurationFreshness freshness = new ConfigurationFreshness(eventLoop);
   private final ProgramBudgets budgets =
       new ProgramBudgets(store, eventLoop, new GrantIds(1), GrantSource.NONE);
-  private final List<LimitedRequest> limited = new ArrayList<>();
+  private final List<LimitedRequest> limitedRequests = new ArrayList<>();
   private final List<Outcome> outcomes = new ArrayList<>();
   private Decision decision = new Decision.Allowed();
 
@@ -96,7 +96,7 @@
         Residency.ANY);
   }
 
-  private Outcome begin(String path, String key, String program) {
+  private Outcome authorize(String path, String key, String program) {
     CallAttributes attributes =
         new CallAttributes(
             "r",
@@ -121,7 +121,7 @@
             attributes,
             eventLoop.nanoTime());
     outcomes.clear();
-    new CallAuthorization(context(), request, outcomes::add).begin();
+    new CallAuthorization(context(), request, outcomes::add).start();
     return outcomes.isEmpty() ? null : outcomes.get(0);
   }
 
@@ -143,9 +143,9 @@
         new GatewayMetrics());
   }
 
-  private void limit(LimitedRequest request, long patience, Consumer<Decision> answer) {
-    limited.add(request);
-    answer.accept(decision);
+  private void limit(LimitedRequest request, long timeoutMillis, Consumer<Decision> callback) {
+    limitedRequests.add(request);
+    callback.accept(decision);
   }
 
   private Refusal refusal(Outcome outcome) {
@@ -153,39 +153,41 @@
   }
 
   @Test
-  void aKnownKeyIsItsTenants() {
-    Outcome.Admitted admitted = (Outcome.Admitted) begin("/tool/", "key-b", null);
-    assertEquals("b", admitted.caller().name());
-    assertEquals("b/p", admitted.caller().scoped("p"));
+  void aKnownKeyIdentifiesItsTenant() {
+    Outcome.Authorized authorized = (Outcome.Authorized) authorize("/tool/", "key-b", null);
+    assertEquals("b", authorized.caller().name());
+    assertEquals("b/p", authorized.caller().scoped("p"));
   }
 
   @Test
-  void whatItsTenantAskedForGoesOnWithTheCall() {
+  void theLimitUseOfTheTenantIsPassedOnWithTheCall() {
     decision = new Decision.Allowed(new LimitUse(3));
-    assertEquals(new LimitUse(3), ((Outcome.Admitted) begin("/tool/", "key-a", null)).use());
-    assertEquals(LimitUse.UNKNOWN, ((Outcome.Admitted) begin("/open/", null, null)).use());
+    assertEquals(
+        new LimitUse(3), ((Outcome.Authorized) authorize("/tool/", "key-a", null)).limitUse());
+    assertEquals(
+        LimitUse.UNKNOWN, ((Outcome.Authorized) authorize("/open/", null, null)).limitUse());
   }
 
   @Test
-  void aRouteThatNeedsNoKeyTakesNothingOffALimit() {
-    Outcome.Admitted admitted = (Outcome.Admitted) begin("/open/", "key-b", null);
-    assertEquals("none", admitted.caller().name());
-    assertTrue(admitted.caller().keysInForce());
-    assertTrue(limited.isEmpty());
+  void anAnonymousRouteIsNotChargedToALimit() {
+    Outcome.Authorized authorized = (Outcome.Authorized) authorize("/open/", "key-b", null);
+    assertEquals("none", authorized.caller().name());
+    assertTrue(authorized.caller().keysInForce());
+    assertTrue(limitedRequests.isEmpty());
   }
 
   @Test
-  void withoutTenantsKeysMeanNothing() {
+  void keysAreIgnoredWithoutTenants() {
     offer(2, TenantDirectory.NONE);
-    Outcome.Admitted admitted = (Outcome.Admitted) begin("/tool/", "nobody", null);
-    assertEquals("p", admitted.caller().scoped("p"));
-    assertTrue(limited.isEmpty());
+    Outcome.Authorized authorized = (Outcome.Authorized) authorize("/tool/", "nobody", null);
+    assertEquals("p", authorized.caller().scoped("p"));
+    assertTrue(limitedRequests.isEmpty());
   }
 
   @Test
-  void anUnknownKeyIsRefusedForGoodOnlyByTheNewestConfiguration() {
+  void anUnknownKeyIsRefusedFinallyOnlyByTheNewestConfiguration() {
     eventLoop.advance(1_000);
-    assertNull(begin("/tool/", "nobody", null));
+    assertNull(authorize("/tool/", "nobody", null));
     freshness.recordProof(eventLoop.nanoTime());
     Refusal refusal = refusal(outcomes.get(0));
     assertEquals(ErrorKind.UNAUTHORIZED, refusal.kind());
@@ -193,27 +195,27 @@
   }
 
   @Test
-  void withAnOldConfigurationEveryKeyIsRefusedForAWhile() {
+  void withAnOldConfigurationEveryKeyIsRefusedAsNotReady() {
     eventLoop.advance(4_000);
-    assertEquals(ErrorKind.NOT_READY, refusal(begin("/tool/", "key-a", null)).kind());
-    assertEquals(ErrorKind.NOT_READY, refusal(begin("/tool/", "nobody", null)).kind());
-    assertTrue(limited.isEmpty());
+    assertEquals(ErrorKind.NOT_READY, refusal(authorize("/tool/", "key-a", null)).kind());
+    assertEquals(ErrorKind.NOT_READY, refusal(authorize("/tool/", "nobody", null)).kind());
+    assertTrue(limitedRequests.isEmpty());
   }
 
   @Test
-  void aCallerComesBackSoonerWhereOtherNodesMayServe() {
+  void theRetryDelayIsShorterWhereOtherNodesMayServe() {
     eventLoop.advance(4_000);
-    long whileOthersServe = refusal(begin("/tool/", "key-a", null)).retryAfterMillis();
+    long whileOthersServe = refusal(authorize("/tool/", "key-a", null)).retryAfterMillis();
     storeHealth.failed(eventLoop.nanoTime());
     storeHealth.failed(eventLoop.nanoTime());
-    long inAnOutage = refusal(begin("/tool/", "key-a", null)).retryAfterMillis();
+    long inAnOutage = refusal(authorize("/tool/", "key-a", null)).retryAfterMillis();
     assertTrue(whileOthersServe < inAnOutage, whileOthersServe + " " + inAnOutage);
   }
 
   @Test
-  void aTenantBeyondItsLimitIsToldWhenToComeBack() {
+  void aTenantBeyondItsLimitGetsARetryDelay() {
     decision = new Decision.Exceeded(123, 0.5);
-    Refusal refusal = refusal(begin("/tool/", "key-a", null));
+    Refusal refusal = refusal(authorize("/tool/", "key-a", null));
     assertEquals(ErrorKind.RATE_LIMITED, refusal.kind());
     assertEquals(429, refusal.kind().httpStatus());
     assertEquals(123, refusal.retryAfterMillis());
@@ -221,32 +223,32 @@
   }
 
   @Test
-  void whereNobodyHoldsTheLimitNothingIsSaidOfIt() {
+  void aLimitWithoutHolderIsRefusedAsNotReady() {
     decision = new Decision.Undecided();
-    assertEquals(ErrorKind.NOT_READY, refusal(begin("/tool/", "key-a", null)).kind());
+    assertEquals(ErrorKind.NOT_READY, refusal(authorize("/tool/", "key-a", null)).kind());
   }
 
   @Test
-  void aProgramOpensWithItsFirstTurnOnly() {
-    begin("/turn/", "key-a", "p");
-    assertEquals(RequestKind.FIRST_TURN, limited.get(0).kind());
+  void onlyTheFirstTurnOfAProgramCountsAsSuch() {
+    authorize("/turn/", "key-a", "p");
+    assertEquals(RequestKind.FIRST_TURN, limitedRequests.get(0).kind());
     budgets.reserve("a/p", 100, 40, eventLoop.nanoTime() + 1_000_000_000L, () -> {});
     eventLoop.advance(100);
-    begin("/turn/", "key-a", "p");
-    begin("/tool/", "key-a", "q");
-    assertEquals(RequestKind.CONTINUING, limited.get(1).kind());
-    assertEquals(RequestKind.CONTINUING, limited.get(2).kind());
-    assertEquals(limited.get(0).program(), limited.get(1).program());
+    authorize("/turn/", "key-a", "p");
+    authorize("/tool/", "key-a", "q");
+    assertEquals(RequestKind.CONTINUING, limitedRequests.get(1).kind());
+    assertEquals(RequestKind.CONTINUING, limitedRequests.get(2).kind());
+    assertEquals(limitedRequests.get(0).program(), limitedRequests.get(1).program());
   }
 
   @Test
-  void aTurnBeyondItsBudgetTakesNothingOffTheLimit() {
+  void aTurnBeyondItsBudgetIsNotChargedToTheLimit() {
     for (int i = 0; i < 4; i++) {
       budgets.reserve("a/p", 100, 40, eventLoop.nanoTime() + 1_000_000_000L, () -> {});
       eventLoop.advance(100);
     }
-    assertEquals(ErrorKind.BUDGET_EXCEEDED, refusal(begin("/turn/", "key-a", "p")).kind());
-    assertTrue(limited.isEmpty());
-    assertInstanceOf(Outcome.Admitted.class, begin("/turn/", "key-b", "p"));
+    assertEquals(ErrorKind.BUDGET_EXCEEDED, refusal(authorize("/turn/", "key-a", "p")).kind());
+    assertTrue(limitedRequests.isEmpty());
+    assertInstanceOf(Outcome.Authorized.class, authorize("/turn/", "key-b", "p"));
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestCallOfSlowCaller.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestCallOfSlowCaller.java
@@ -14,12 +14,12 @@
 
 /** A stream whose caller reads more slowly than its engine answers. */
 class TestCallOfSlowCaller {
-  private static final long CALL_BYTES = 100;
+  private static final long MAX_HELD_BYTES = 100;
 
   private final SingleEngineNode node = new SingleEngineNode(RouteKind.STREAMING, true);
   private final HeldBytesLimiter held =
       new HeldBytesLimiter(
-          new HeldBytesLimiter.Bounds(CALL_BYTES, 100_000, 10_000), node.eventLoop());
+          new HeldBytesLimiter.Bounds(MAX_HELD_BYTES, 100_000, 10_000), node.eventLoop());
   private final TestingResponder responder = new TestingResponder(held);
 
   private Sent streaming() {
@@ -28,14 +28,14 @@
   }
 
   @Test
-  void anEngineThatIsNotReadIsNotSilent() {
+  void anEngineThatIsNotReadDoesNotCountAsSilent() {
     Sent sent = streaming();
-    responder.flow().hold(CALL_BYTES);
+    responder.flow().hold(MAX_HELD_BYTES);
     assertTrue(sent.paused());
     node.eventLoop().advance(2_000);
     assertEquals(1, node.transport().count());
     assertFalse(sent.cancelled());
-    responder.flow().delivered(CALL_BYTES);
+    responder.flow().delivered(MAX_HELD_BYTES);
     assertFalse(sent.paused());
     node.eventLoop().advance(599);
     assertEquals(1, node.transport().count());
@@ -44,39 +44,39 @@
   }
 
   @Test
-  void anEngineThatIsReadAgainAndSaysNothingIsSilent() {
+  void anEngineThatIsReadAgainAndSendsNothingCountsAsSilent() {
     Sent sent = streaming();
-    responder.flow().hold(CALL_BYTES);
+    responder.flow().hold(MAX_HELD_BYTES);
     node.eventLoop().advance(1_000);
-    responder.flow().delivered(CALL_BYTES);
+    responder.flow().delivered(MAX_HELD_BYTES);
     node.eventLoop().advance(1_300);
     assertTrue(sent.cancelled());
   }
 
   @Test
-  void theTimeForWhichAnEngineIsNotReadIsNotItsPace() {
+  void pausedReadingIsNotObservedAsInterEventTime() {
     Sent sent = streaming();
     double before = node.engine().interEventMillis();
-    responder.flow().hold(CALL_BYTES);
+    responder.flow().hold(MAX_HELD_BYTES);
     node.eventLoop().advance(1_500);
-    responder.flow().delivered(CALL_BYTES);
+    responder.flow().delivered(MAX_HELD_BYTES);
     sent.event(2);
     assertEquals(before, node.engine().interEventMillis());
   }
 
   @Test
-  void eventsThatWaitForTheirGrantAreCountedAndHoldTheEngineBack() {
+  void eventsHeldUntilTheirGrantAreCountedAndPauseTheEngine() {
     node.store().fault(Fault.REFUSE);
     node.call(responder, "p", 100_000);
     Sent sent = node.transport().last().stream();
     int events = 0;
-    while (!sent.paused() && events < CALL_BYTES) {
-      assertTrue(held.totalBytes() < CALL_BYTES, "held " + held.totalBytes());
+    while (!sent.paused() && events < MAX_HELD_BYTES) {
+      assertTrue(held.totalBytes() < MAX_HELD_BYTES, "held " + held.totalBytes());
       events++;
       sent.event(events);
     }
     assertEquals(List.of(), responder.received());
-    assertTrue(held.totalBytes() >= CALL_BYTES, "held " + held.totalBytes());
+    assertTrue(held.totalBytes() >= MAX_HELD_BYTES, "held " + held.totalBytes());
     node.store().fault(Fault.NONE);
     for (int millis = 0; sent.paused() && millis < 1_000; millis += 10) {
       node.eventLoop().advance(10);
@@ -87,7 +87,7 @@
   }
 
   @Test
-  void aCallThatEndsWithoutItsGrantHoldsNothing() {
+  void aCallThatEndsWithoutItsGrantReleasesHeldBytes() {
     node.store().fault(Fault.REFUSE);
     node.call(responder, "p", 100_000);
     node.transport().last().stream().event(1);
@@ -97,13 +97,13 @@
   }
 
   @Test
-  void aStreamThatIsWholeStaysHeldUntilItsCallerReadsIt() {
+  void aCompleteStreamStaysHeldUntilItsCallerReadsIt() {
     Sent sent = streaming();
-    responder.flow().hold(CALL_BYTES - 1);
+    responder.flow().hold(MAX_HELD_BYTES - 1);
     sent.complete();
     node.eventLoop().advance(60_000);
     held.sweep();
     assertEquals("end", responder.received().get(responder.received().size() - 1));
-    assertEquals(CALL_BYTES - 1, held.totalBytes());
+    assertEquals(MAX_HELD_BYTES - 1, held.totalBytes());
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestClientCall.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestClientCall.java
@@ -186,7 +186,7 @@
   }
 
   @Test
-  void aTurnIsSentWithARankThatFollowsWhatIsLeftOfItsProgramsTime() {
+  void aTurnIsSentWithARankThatDependsOnTheRemainingTimeOfItsProgram() {
     call("/once/", "r1", null, "p", "p", -1, 900);
     assertEquals(UrgencyLevel.STARTING.rank(1), transport.last().request().rank());
     eventLoop.advance(100);
@@ -201,7 +201,7 @@
   }
 
   @Test
-  void anUnknownRouteIsRefusedAsSuchOnlyWhileTheConfigurationIsCurrent() {
+  void anUnknownRouteIsRefusedAsSuchOnlyWhileTheConfigurationIsRecent() {
     call("/nowhere/");
     assertEquals(ErrorKind.UNKNOWN_RESOURCE, responder.refusal().kind());
     eventLoop.advance(10_000);
@@ -222,7 +222,7 @@
   }
 
   @Test
-  void aRequestWaitsForRoomWhileItsWorkFitsInItsTimeAndIsThenToldWhenToComeBack() {
+  void aRequestWaitsForCapacityWhileItCanFinishInTimeAndThenGetsARetryDelay() {
     call("/unsafe/");
     long waited = 0;
     while (responder.received().isEmpty() && waited < TIMEOUT_MILLIS) {
@@ -242,7 +242,7 @@
     "/safe/, 10, 2900, 2980",
     "/unsafe/, 1000, 2900, 2980"
   })
-  void aRepeatableRequestWaitsForRoomOnlyWithinAnAimThatItCanMeet(
+  void aRepeatableRequestWaitsForCapacityOnlyWithinAFinishTargetThatItCanMeet(
       String path, long finishMillis, long least, long below) {
     CallAttributes attributes =
         new CallAttributes(
@@ -259,7 +259,7 @@
   }
 
   @Test
-  void aRoundOfEnginesThatCannotBeReachedIsNoReasonToWait() {
+  void aRequestDoesNotWaitAfterARoundOfUnreachableEngines() {
     for (int i = 3; i < 9; i++) {
       engines.put(new EngineRecord("e" + i, "s", "10.0.0." + i, 80, "z", 8, false));
     }
@@ -272,7 +272,7 @@
   }
 
   @Test
-  void aTurnThatWaitsForRoomWhenItsGrantComesIsSentOnce() {
+  void aTurnThatWaitsForCapacityWhenItsGrantArrivesIsSentOnce() {
     call("/unsafe/");
     for (int i = 0; i < 3; i++) {
       transport.last().notExecuted();
@@ -285,7 +285,7 @@
   }
 
   @Test
-  void aRequestThatWaitedForRoomIsServedOnceThereIsSome() {
+  void aRequestThatWaitedForCapacityIsServedOnceThereIsSome() {
     call("/unsafe/");
     for (int i = 0; i < 20; i++) {
       transport.last().notExecuted();
@@ -298,7 +298,7 @@
   }
 
   @Test
-  void aSafeRequestRunsAgainElsewhereWithinItsAttempts() {
+  void aSafeRequestIsSentToAnotherEngineWithinItsAttempts() {
     call("/safe/");
     transport.last().breakConnection();
     assertNotEquals(transport.sent(0).engineId(), transport.sent(1).engineId());
@@ -308,7 +308,7 @@
   }
 
   @Test
-  void aSilentEngineIsGivenUpForASafeRequest() {
+  void aSafeRequestIsCancelledAtASilentEngine() {
     call("/safe/");
     long silenceMillis =
         route("/safe/", RouteKind.SAFE, 2, false, false).silenceTimeoutMillis(false);
@@ -328,14 +328,14 @@
   }
 
   @Test
-  void anEnginesFailureIsPassedOnUnchanged() {
+  void anErrorResponseOfAnEngineIsPassedOnUnchanged() {
     call("/unsafe/");
     transport.last().head(500, true, false, false).bytes("oops").complete();
     assertEquals(List.of("answer 500 oops"), responder.received());
   }
 
   @Test
-  void aBrokenStreamGoesOnElsewhereWithoutAGapOrARepeat() {
+  void aBrokenStreamContinuesAtAnotherEngineWithoutMissingOrRepeatedEvents() {
     call("/resumable/");
     Sent first = transport.last();
     first.stream().event(1).event(2).bytes("id: 3\nda");
@@ -365,7 +365,7 @@
   }
 
   @Test
-  void aCallerThatLeavesEndsTheRun() {
+  void aDisconnectOfTheCallerCancelsTheRun() {
     ClientCall call = call("/resumable/");
     call.callerDisconnected();
     assertTrue(transport.last().cancelled());
@@ -375,7 +375,7 @@
   }
 
   @Test
-  void aTurnThatNoEngineHasIsToldSoAtItsDeadline() {
+  void aTurnThatWasNotSentIsRefusedWithARetryDelayAtItsDeadline() {
     store.fault(Fault.REFUSE);
     call("/once/", "r", null, "p", "line of a sub-agent", 10_000);
     eventLoop.advance(TIMEOUT_MILLIS + 100);
@@ -385,7 +385,7 @@
   }
 
   @Test
-  void theFinalAnswerComesAtTheDeadline() {
+  void aCallThatIsStillRunningIsRefusedAtItsDeadline() {
     call("/unsafe/");
     eventLoop.advance(TIMEOUT_MILLIS + 10);
     assertEquals(List.of("refuse DEADLINE_PASSED"), responder.received());
@@ -393,7 +393,7 @@
   }
 
   @Test
-  void noEventIsHandedOutBeforeItsGrant() {
+  void noEventIsSentToTheCallerBeforeItsGrant() {
     call("/once/", "r", null, "p", 10_000);
     transport.last().stream().event(1);
     assertEquals(List.of(), responder.received());
@@ -404,7 +404,7 @@
   }
 
   @Test
-  void aRunThatEndedBeforeItsGrantIsPassedOnWithIt() {
+  void aStreamThatEndedBeforeItsGrantIsPassedOnOnceGranted() {
     call("/once/", "r", null, "p", 10_000);
     transport.last().stream().event(1).complete();
     eventLoop.advance(10);
@@ -412,7 +412,7 @@
   }
 
   @Test
-  void aSpentBudgetIsToldOnlyIfNothingRan() {
+  void aSpentBudgetIsReportedIfNothingRan() {
     call("/once/", "r1", null, "p", 400);
     eventLoop.advance(10);
     for (int i = 1; i <= 20; i++) {
@@ -426,7 +426,7 @@
   }
 
   @Test
-  void aBudgetSpentElsewhereIsNeverToldAfterTheTurnWasSent() {
+  void aBudgetSpentAtAnotherNodeIsNotReportedAfterTheTurnWasSent() {
     ProgramBudgets elsewhere =
         new ProgramBudgets(store, eventLoop, new GrantIds(900), GrantSource.NONE);
     elsewhere.reserve("p", 400, 500, Long.MAX_VALUE, () -> {});
@@ -439,7 +439,7 @@
   }
 
   @Test
-  void aTurnWaitsForTheStoreWhileItsEngineRunsIfEnginesHaveTime() {
+  void aTurnRunsWhileItWaitsForTheStoreIfEnginesHaveSpareCapacity() {
     storeHealth.failed(eventLoop.nanoTime());
     storeHealth.failed(eventLoop.nanoTime());
     store.fault(Fault.REFUSE);
@@ -453,7 +453,7 @@
   }
 
   @Test
-  void aTurnThatWaitedForTheStoreInVainEndsAtItsDeadline() {
+  void aTurnThatTheStoreDoesNotGrantEndsAtItsDeadline() {
     store.fault(Fault.REFUSE);
     call("/once/", "r", null, "p", 10_000);
     transport.last().stream().event(1).complete();
@@ -464,9 +464,9 @@
   }
 
   @Test
-  void withoutStoreAndWithBusyEnginesNothingIsSent() {
+  void nothingIsSentWithoutStoreWhileEnginesAreBusy() {
     eventLoop.advance(300);
-    congest();
+    observeLongWaits();
     storeHealth.failed(eventLoop.nanoTime());
     storeHealth.failed(eventLoop.nanoTime());
     store.fault(Fault.REFUSE);
@@ -477,8 +477,8 @@
   }
 
   @Test
-  void aNewProgramIsSentAwayWhileEnginesKeepWorkWaiting() {
-    congest();
+  void aNewProgramIsRefusedWhileRequestsWaitAtEngines() {
+    observeLongWaits();
     call("/once/", "r", null, "p", 10_000);
     eventLoop.advance(10);
     assertEquals(ErrorKind.OVERLOADED, responder.refusal().kind());
@@ -487,8 +487,8 @@
   }
 
   @Test
-  void aProgramThatWasSentAwayHasNotBegunAndIsJudgedAnewWhenItReturns() {
-    congest();
+  void aRefusedProgramHasNotStartedAndIsDecidedOnAgainWhenItReturns() {
+    observeLongWaits();
     for (int i = 0; i < 3; i++) {
       call("/once/", "r" + i, null, "p", 10_000);
       eventLoop.advance(10);
@@ -499,15 +499,15 @@
   }
 
   @Test
-  void aNewProgramWaitsForNothingWhileThereIsRoom() {
+  void aNewProgramIsSentWithoutAReadOfTheStoreWhileThereIsCapacity() {
     call("/once/", "r", null, "p", 10_000);
     assertEquals(1, transport.count());
     assertEquals(0, store.reads());
   }
 
   @Test
-  void aProgramOfWhichTheStoreSaysNothingIsNotSentAway() {
-    congest();
+  void aProgramIsNotRefusedIfTheStoreCannotBeRead() {
+    observeLongWaits();
     store.failReads(true);
     call("/once/", "r", null, "p", 10_000);
     eventLoop.advance(20);
@@ -515,10 +515,10 @@
   }
 
   @Test
-  void aTurnWithoutBudgetIsSentAwayAtOnceAndItsProgramOnceItRunsIsNot() {
+  void aProgramWithoutBudgetIsRefusedAtOnceButNotOnceItRuns() {
     call("/once/", "t1", null, "runs", -1);
     transport.last().stream().event(1).complete();
-    congest();
+    observeLongWaits();
     call("/once/", "r", null, "p", -1);
     assertEquals(ErrorKind.OVERLOADED, responder.refusal().kind());
     assertEquals(1, transport.count());
@@ -527,16 +527,16 @@
   }
 
   @Test
-  void aSubAgentIsNeverSentAway() {
-    congest();
+  void aSubAgentIsNeverRefused() {
+    observeLongWaits();
     call("/once/", "r", null, "p", "sub-agent", 10_000);
     eventLoop.advance(20);
     assertEquals(1, transport.count());
   }
 
   @Test
-  void aCallerThatLeavesWhileItsProgramIsLookedUpEndsIt() {
-    congest();
+  void aDisconnectDuringTheLookupOfTheProgramEndsTheCall() {
+    observeLongWaits();
     call("/once/", "r", null, "p", 10_000).callerDisconnected();
     eventLoop.advance(20);
     assertEquals(List.of(), responder.received());
@@ -544,30 +544,30 @@
   }
 
   @Test
-  void aProgramThatRunsGoesOnWhileEnginesKeepWorkWaiting() {
+  void aRunningProgramContinuesWhileRequestsWaitAtEngines() {
     call("/kept/", "t1", null, "p", 10_000);
     eventLoop.advance(10);
     transport.last().stream().event(1).complete();
     eventLoop.advance(10);
-    congest();
+    observeLongWaits();
     call("/kept/", "t2", "t1", "p", 10_000);
     eventLoop.advance(20);
     assertEquals(2, transport.count());
   }
 
-  private void congest() {
+  private void observeLongWaits() {
     for (int i = 0; i < 100; i++) {
       admission.observeWait("s", 2_000, eventLoop.nanoTime());
     }
   }
 
   @Test
-  void aProgramThatBeganElsewhereGoesOnWhileEnginesKeepWorkWaiting() {
+  void aProgramStartedAtAnotherNodeContinuesWhileRequestsWaitAtEngines() {
     ProgramBudgets elsewhere =
         new ProgramBudgets(store, eventLoop, new GrantIds(900), GrantSource.NONE);
     elsewhere.reserve("p", 10_000, 500, Long.MAX_VALUE, () -> {});
     eventLoop.advance(10);
-    congest();
+    observeLongWaits();
     call("/once/", "r", null, "p", 10_000);
     eventLoop.advance(20);
     assertEquals(1, transport.count());
@@ -575,7 +575,8 @@
 
   @ParameterizedTest(name = "session {0}: {1} sends before the grant is known")
   @CsvSource({"p, 1", "sub-agent, 0"})
-  void onlyTheFirstLineOfAnUnknownProgramIsSentBeforeItsGrantIsKnown(String session, int sends) {
+  void onlyTheFirstConversationOfAnUnknownProgramIsSentBeforeItsGrantIsKnown(
+      String session, int sends) {
     call("/once/", "r", null, "p", session, 10_000);
     assertEquals(sends, transport.count());
     eventLoop.advance(100);
@@ -599,7 +600,7 @@
   }
 
   @Test
-  void aKeptTurnEndsOnlyAfterTheStoreHasIt() {
+  void aStoredTurnEndsOnlyAfterTheStoreHasIt() {
     call("/kept/", "t1", null, null, -1);
     transport.last().stream().event(1).complete();
     assertFalse(responder.received().contains("end"));
@@ -608,7 +609,7 @@
   }
 
   @Test
-  void aTurnThatCannotBeKeptIsCut() {
+  void aTurnThatCannotBeStoredIsCut() {
     call("/kept/", "t1", null, null, -1);
     store.fault(Fault.REFUSE);
     transport.last().stream().event(1).complete();
@@ -627,7 +628,7 @@
   }
 
   @Test
-  void aTurnThatNamesNoTurnIsUnknownAndOneThatCannotBeReadIsNot() {
+  void anUnknownPreviousTurnGetsAnotherStatusThanAnUnreadableOne() {
     call("/kept/", "t2", "nowhere", null, -1);
     eventLoop.advance(100);
     assertEquals(404, responder.refusal().kind().httpStatus());
@@ -640,26 +641,26 @@
 
   @ParameterizedTest(name = "its entry says that it drains: {0}")
   @ValueSource(booleans = {true, false})
-  void anEngineThatLeavesEndsWhatItHasAndGetsNothingNew(boolean says) {
+  void aDrainingOrRemovedEngineFinishesItsRequestsAndGetsNoNewOnes(boolean draining) {
     call("/once/");
-    Sent underWay = transport.last();
-    EngineRecord leaving = engines.find(new EngineId(underWay.engineId())).record();
-    if (says) {
-      engines.put(drained(leaving));
+    Sent current = transport.last();
+    EngineRecord leaving = engines.find(new EngineId(current.engineId())).record();
+    if (draining) {
+      engines.put(drainingCopy(leaving));
     } else {
       engines.remove(leaving.id(), 0, eventLoop.nanoTime());
     }
-    underWay.stream().event(1);
+    current.stream().event(1);
     for (int i = 0; i < 20; i++) {
       call("/safe/", "r" + i, null, null, -1);
       assertNotEquals(leaving.id(), transport.last().engineId());
       eventLoop.advance(20);
     }
-    underWay.event(2).complete();
+    current.event(2).complete();
     assertTrue(responder.received().contains("end"), responder.received().toString());
   }
 
-  private static EngineRecord drained(EngineRecord record) {
+  private static EngineRecord drainingCopy(EngineRecord record) {
     return new EngineRecord(
         record.id(),
         record.service(),
