--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmissionDecision.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmissionDecision.java
@@ -1,20 +1,20 @@
 package org.baykeel.gateway.admission;
 
 /**
- * What was decided on a program that asks to begin.
+ * The admission decision on a program.
  *
- * @param cause why
- * @param retryMillis when it may ask again; 0 if it may begin
+ * @param cause why it was admitted or refused
+ * @param retryMillis when the caller may retry, in milliseconds; 0 if the program was admitted
  */
 public record AdmissionDecision(Cause cause, long retryMillis) {
 
-  /** Why a program may or may not begin. */
+  /** The cause of an admission decision. */
   public enum Cause {
-    /** It may begin. */
+    /** The program may start. */
     ADMITTED("admitted"),
-    /** Its end within its aim is not predicted. */
+    /** The program is not predicted to meet its finish target. */
     NO_ROOM("no room"),
-    /** Its aim is over before a single turn could end. */
+    /** The finish target passes before a single turn could finish. */
     TOO_LATE("too little time left");
 
     private final String description;
@@ -23,13 +23,13 @@
       this.description = phrase;
     }
 
-    /** The cause in words. */
+    /** The cause in words, as it appears in the log. */
     public String description() {
       return description;
     }
   }
 
-  /** Whether the program may begin. */
+  /** Whether the program may start. */
   public boolean admitted() {
     return cause == Cause.ADMITTED;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmissionLog.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmissionLog.java
@@ -5,7 +5,10 @@
 import org.baykeel.gateway.telemetry.GatewayEvent;
 import org.baykeel.gateway.telemetry.GatewayLog;
 
-/** Tells of refusals and of changes of shares; of changes at most once a second for each kind. */
+/**
+ * Logs refusals and changes of admitted shares. A change is logged at most once per second for each
+ * route and rank.
+ */
 final class AdmissionLog {
   private static final long MIN_INTERVAL_NANOS = 1_000_000_000L;
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmissionRequest.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmissionRequest.java
@@ -4,15 +4,15 @@
 import org.baykeel.gateway.tenancy.LimitUse;
 
 /**
- * The first turn of a program that asks to begin.
+ * A request to start a program, made by its first turn.
  *
- * @param route what programs like it have in common: the name of their route
- * @param rank how urgent it is; 0 is the most urgent
- * @param caller on whose behalf it runs
+ * @param route the name of the route
+ * @param rank the urgency; 0 is the most urgent
+ * @param caller on whose behalf the program runs
  * @param service the service of its turns
- * @param responseTargetMillis the time within which its route wants an answer to begin
- * @param finishMillis the time left until the whole program should be over; 0 or less if unknown
- * @param limitUse what its tenant asked for lately
+ * @param responseTargetMillis the route's response target, in milliseconds
+ * @param finishMillis the time until the whole program is due; 0 or less if unknown
+ * @param limitUse the tenant's recent use of its limit
  */
 public record AdmissionRequest(
     String route,
@@ -23,7 +23,7 @@
     long finishMillis,
     LimitUse limitUse) {
 
-  /** What it competes with for the same room: programs of its kind at its service. */
+  /** The programs that compete for the same capacity: those of one route at one service. */
   String group() {
     return service + '/' + route;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmittedShare.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmittedShare.java
@@ -1,12 +1,15 @@
 package org.baykeel.gateway.admission;
 
 /**
- * The share of programs that may begin. It falls at once and rises no faster than from none to all
- * within the time of a program, or all who waited would come together. Who begins is spread evenly,
- * not drawn one by one.
+ * The share of first turns that are admitted. It falls at once, and rises from 0 to 1 in no less
+ * than the duration of a program, since otherwise all waiting callers would be admitted together.
+ * Admissions are spaced evenly instead of drawn at random.
  */
 final class AdmittedShare {
-  /** Some begin always, so that an end of the congestion is seen. */
+  /**
+   * Lower bound of the share: some programs are always admitted, so that the end of an overload is
+   * noticed.
+   */
   static final double MIN_SHARE = 0.05;
 
   private double share;
@@ -15,20 +18,20 @@
   private long updatedNanos;
 
   /**
-   * Creates a share of nothing decided.
+   * Creates a share before its first update.
    *
-   * @param firstCredit from 0 to 1; apart from that of other nodes, so that they don't admit
-   *     together
+   * @param firstCredit from 0 to 1; differs between nodes, so that they do not admit at the same
+   *     moment
    */
   AdmittedShare(double firstCredit) {
     this.credit = firstCredit;
   }
 
   /**
-   * Moves towards a target.
+   * Moves the share towards a target.
    *
    * @param target the share that the present load allows
-   * @param riseMillis the time from a share of 0 to one of 1
+   * @param riseMillis the time in which the share may rise from 0 to 1
    */
   void update(double target, double riseMillis, long nowNanos) {
     double bounded = Math.max(MIN_SHARE, Math.min(1, target));
@@ -46,7 +49,7 @@
     return share;
   }
 
-  /** Whether the next program that asks may begin, if this share of them may. */
+  /** Returns whether the next program is admitted, if this share of such programs is. */
   boolean admitNext(double tenantShare) {
     credit += tenantShare;
     if (credit < 1) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/BaselineTimes.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/BaselineTimes.java
@@ -1,8 +1,8 @@
 package org.baykeel.gateway.admission;
 
-/** What turns and pauses of programs take while there is room. Times are in milliseconds. */
+/** The times of turns and pauses while the service has capacity, in milliseconds. */
 final class BaselineTimes {
-  /** Within this time a value loses most of its weight. */
+  /** Time constant of the exponential decay of older values. */
   private static final double DECAY_NANOS = 20e9;
 
   private double workMillis;
@@ -10,7 +10,7 @@
   private boolean known;
   private long observedNanos;
 
-  /** Notes present values, seen while there is room. */
+  /** Adds values observed while the service has capacity. */
   void observe(double newWorkMillis, double newPauseMillis, long nowNanos) {
     double weight = known ? 1 - Math.exp(-(nowNanos - observedNanos) / DECAY_NANOS) : 1;
     workMillis += weight * (newWorkMillis - workMillis);
@@ -20,18 +20,18 @@
   }
 
   /**
-   * The usual time of a turn that does not wait.
+   * The baseline time of a turn that does not wait.
    *
-   * @param fallbackMillis stands for it while there never was room
+   * @param fallbackMillis the result if the service never had capacity
    */
   double work(double fallbackMillis) {
     return known ? workMillis : fallbackMillis;
   }
 
   /**
-   * The usual time between two turns.
+   * The baseline time between two turns.
    *
-   * @param fallbackMillis stands for it while there never was room
+   * @param fallbackMillis the result if the service never had capacity
    */
   double pause(double fallbackMillis) {
     return known ? pauseMillis : fallbackMillis;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/DurationPrediction.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/DurationPrediction.java
@@ -4,17 +4,18 @@
 import org.baykeel.gateway.directory.ServicePerformance;
 
 /**
- * What a program would take if it began now. Times are in milliseconds.
+ * The predicted duration of a program that would start now. Times are in milliseconds.
  *
- * @param ratio the predicted time in parts of the aim; absent while too little was seen
- * @param slackUse what the program is predicted to take beyond its usual time, in parts of what its
- *     aim leaves beyond it; absent like the ratio
- * @param excessWorkMillis what the work of a turn takes beyond its usual time
- * @param waitMillis the wait of a turn for a place
- * @param turnMillis a turn, its wait included
+ * @param ratio the predicted duration divided by the finish target; absent while there are too few
+ *     observations
+ * @param slackUse the predicted excess over the baseline duration, divided by the slack that the
+ *     finish target leaves beyond that baseline; absent like the ratio
+ * @param excessWorkMillis the excess of a turn's work over its baseline
+ * @param waitMillis how long a turn waits for a slot
+ * @param turnMillis the time of a turn, including its wait
  * @param pauseMillis the time between two turns
- * @param turns turns of a program's first line
- * @param finishTargetMillis the time within which programs of its kind should be over
+ * @param turns the number of turns in a program's first conversation
+ * @param finishTargetMillis the mean finish target of the route's programs
  */
 record DurationPrediction(
     OptionalDouble ratio,
@@ -26,7 +27,7 @@
     double turns,
     double finishTargetMillis) {
 
-  /** The least that counts as slack, in parts of the aim. */
+  /** Lower bound of the slack, as a part of the finish target. */
   private static final double MIN_SLACK = 0.25;
 
   static DurationPrediction of(
@@ -65,7 +66,7 @@
     return turns * turnMillis + (turns - 1) * pauseMillis;
   }
 
-  /** The time of a turn that does not wait, at the present pace. */
+  /** The time of a turn that does not wait, at the present token rate. */
   static double workMillis(ServicePerformance performance) {
     return performance.firstEventMillis()
         + performance.prefillMillis(performance.newTokens())
@@ -73,17 +74,18 @@
   }
 
   /**
-   * A program with less time left than this can't end in its aim: not even a turn of its service
-   * would. Kinds whose aim is short against such a turn have shorter turns than it.
+   * The remaining time below which a program cannot meet its finish target, since not even one turn
+   * would finish. Where the finish target is short compared with a turn of the service, the turns
+   * of the route are taken to be shorter than that, and half of the finish target is the bound.
    */
   double minRemainingMillis() {
     return finishTargetMillis > 0 ? Math.min(turnMillis, finishTargetMillis / 2) : turnMillis;
   }
 
   /**
-   * The predicted time of a whole program.
+   * The predicted duration of a whole program.
    *
-   * @param defaultMillis stands for it while too little was seen
+   * @param defaultMillis the result while there are too few observations
    */
   double programMillis(double defaultMillis) {
     return ratio.isPresent() ? ratio.getAsDouble() * finishTargetMillis : defaultMillis;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/LocalWaitEstimate.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/LocalWaitEstimate.java
@@ -1,18 +1,21 @@
 package org.baykeel.gateway.admission;
 
-/** How long engines of a service keep this process's own requests waiting. */
+/** Estimates how long the engines of a service keep this node's own requests waiting. */
 final class LocalWaitEstimate {
   /** Weight of one observation; about the last five count. */
   private static final double SMOOTHING = 0.2;
 
   private static final double OBSERVATIONS = 1 / SMOOTHING;
 
-  /** Between two requests of a node that gets few of them nothing fades. */
+  /** The estimate does not decay between two requests of a node that gets few of them. */
   private static final double NO_DECAY_NANOS = 300e6;
 
   private static final double DECAY_NANOS = 500e6;
 
-  /** The ages of requests that wait lie evenly between none and their whole wait. */
+  /**
+   * The ages of requests that still wait are spread evenly between 0 and their full wait, so a full
+   * wait is on average twice the age.
+   */
   private static final double WAIT_PER_MEAN_AGE = 2;
 
   private double smoothedMillis;
@@ -20,19 +23,19 @@
   private int pending;
   private long sumSentNanos;
 
-  /** A request was sent; its first event is not there yet. */
+  /** Records that a request was sent and waits for its first event. */
   void sent(long sentNanos) {
     pending++;
     sumSentNanos += sentNanos;
   }
 
-  /** A request that was sent got its first event, or came to nothing. */
+  /** Records that a sent request got its first event or ended without one. */
   void waitEnded(long sentNanos) {
     pending--;
     sumSentNanos -= sentNanos;
   }
 
-  /** Notes how long a request waited; negative values count as none. */
+  /** Adds the wait of a request; negative values count as 0. */
   void observe(double waitMillis, long nowNanos) {
     double before = observedMillis(nowNanos);
     smoothedMillis = before + SMOOTHING * (Math.max(0, waitMillis) - before);
@@ -40,15 +43,15 @@
   }
 
   /**
-   * The smoothed wait of the requests that have waited, in milliseconds; without observations it
-   * fades out within seconds.
+   * The smoothed wait of requests that have got their first event, in milliseconds; without new
+   * observations it decays within seconds.
    */
   double observedMillis(long nowNanos) {
     double decayNanos = Math.max(0, nowNanos - observedNanos - NO_DECAY_NANOS);
     return smoothedMillis * Math.exp(-decayNanos / DECAY_NANOS);
   }
 
-  /** The same, with the requests that still wait, in milliseconds. */
+  /** The wait including that of requests that still wait, in milliseconds. */
   double currentMillis(long nowNanos) {
     double sumAgeMillis = (pending * nowNanos - sumSentNanos) / 1e6;
     double sumMillis = observedMillis(nowNanos) * OBSERVATIONS + sumAgeMillis * WAIT_PER_MEAN_AGE;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ProgramAdmission.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ProgramAdmission.java
@@ -8,15 +8,17 @@
 import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
- * Decides whether programs begin. One begins only if its end within its aim is predicted; nobody is
- * refused while the service has room. Work of programs that run is never refused here: a program
- * that began is worth its end, and one that has not begun costs least to send away.
+ * Decides whether programs may start. No program is refused while the service has capacity; under
+ * load, the share of programs that may start follows from how far programs are predicted to exceed
+ * their usual duration, compared with the slack up to their finish target. Turns of running
+ * programs are never refused here: a refusal would waste the work that was done for them, whereas a
+ * refusal before the first turn costs least.
  */
 public final class ProgramAdmission {
-  /** Below this multiple of the wanted first answer engines have time to spare. */
+  /** Engines have spare capacity while the wait is below this multiple of the response target. */
   private static final double SPARE_WAIT_TARGETS = 0.5;
 
-  /** The least and the most that refused callers are asked to wait, before it is spread. */
+  /** Bounds of the retry delay of refused callers, before jitter. */
   private static final double MIN_RETRY_MILLIS = 300;
 
   private static final double MAX_RETRY_MILLIS = 1_333;
@@ -31,12 +33,12 @@
   private final Map<String, ProgramProfile> profiles = new HashMap<>();
 
   /**
-   * Creates an admission that has seen nothing.
+   * Creates an admission without observations.
    *
-   * @param engines whose load and pace count
-   * @param random sets this node's order of admission apart from that of others
-   * @param shares spreads the share of programs that may begin over those who ask
-   * @param log takes a line for each change
+   * @param engines the engines whose load and speed count
+   * @param random makes this node's sequence of admissions differ from that of others
+   * @param shares distributes the admitted share among the tenants
+   * @param log receives a line for each refusal and change of a share
    */
   public ProgramAdmission(
       EngineDirectory engines, RandomGenerator random, AdmissionShares shares, GatewayLog log) {
@@ -47,19 +49,19 @@
     this.retryDelay = new RetryDelay(random);
   }
 
-  /** Creates an admission that gives everybody of a kind the same share. */
+  /** Creates an admission that gives all tenants the same share. */
   public ProgramAdmission(EngineDirectory engines, RandomGenerator random, GatewayLog log) {
     this(engines, random, AdmissionShares.EVEN, log);
   }
 
-  /** Spreads the times at which refused callers return. */
+  /** Adds jitter to the retry delays of refused callers. */
   public RetryDelay retryDelay() {
     return retryDelay;
   }
 
   /**
-   * Whether every program of this kind may begin now, so that nothing is to be decided on a single
-   * one.
+   * Returns whether all programs of this route may start now, so that no decision on the single
+   * program is needed.
    */
   public boolean unrestricted(AdmissionRequest request, long nowNanos) {
     boolean unrestricted = share(request, nowNanos) >= 1;
@@ -70,10 +72,10 @@
   }
 
   /**
-   * Decides on a program that has not begun anywhere.
+   * Decides on a program that has not started at any node.
    *
-   * @param requestId names its first turn in the log
-   * @param program names it in the log
+   * @param requestId the identifier of its first turn, for the log
+   * @param program the identifier of the program, for the log
    */
   public AdmissionDecision decide(
       AdmissionRequest request, String requestId, String program, long nowNanos) {
@@ -126,15 +128,15 @@
     return profiles.computeIfAbsent(route, key -> new ProgramProfile());
   }
 
-  /** A program began. */
+  /** Records that a program started. */
   public void programStarted(String route, long finishMillis, long nowNanos) {
     profile(route).programStarted(finishMillis, nowNanos);
   }
 
   /**
-   * A turn of a program's first line came and is served.
+   * Records that a turn of a program's first conversation arrived and is served.
    *
-   * @param conversation identifies its line of turns
+   * @param conversation the identifier of the conversation
    */
   public void turnStarted(String route, String conversation, long nowNanos) {
     ProgramProfile profile = profile(route);
@@ -142,44 +144,44 @@
     pauses.turnStarted(conversation, profile, nowNanos);
   }
 
-  /** Whether this process lately served a turn of a line. */
+  /** Whether this node has recently served a turn of a conversation. */
   public boolean servedRecently(String conversation) {
     return pauses.servedRecently(conversation);
   }
 
-  /** A turn that was told to have begun is over. */
+  /** Records that a turn ended for which {@link #turnStarted} was called. */
   public void turnEnded(String conversation, long nowNanos) {
     pauses.turnEnded(conversation, nowNanos);
   }
 
-  /** A line of turns called another service. */
+  /** Records that a conversation called another service. */
   public void toolCalled(String conversation, String service) {
     pauses.toolCalled(conversation, service);
   }
 
-  /** A request was sent to an engine; {@link #requestAnswered} follows. */
+  /** Records that a request was sent to an engine; {@link #requestWaitEnded} follows. */
   public void requestSent(String service, long sentNanos) {
     service(service).localWait().sent(sentNanos);
   }
 
-  /** A request that was sent got its first event, or came to nothing. */
+  /** Records that a sent request got its first event or ended without one. */
   public void requestWaitEnded(String service, long sentNanos) {
     service(service).localWait().waitEnded(sentNanos);
   }
 
   /**
-   * Notes how long a request waited at an engine beyond what its prompt explains.
+   * Records how long a request waited at an engine beyond the time that its prompt explains.
    *
-   * @param millis the wait; negative values count as none
+   * @param millis the wait; negative values count as 0
    */
   public void observeWait(String service, double millis, long nowNanos) {
     service(service).observeWait(millis, nowNanos);
   }
 
   /**
-   * Whether engines have time to spare for work that may turn out to be for nothing.
+   * Whether engines have spare capacity for work whose result may have to be discarded.
    *
-   * @param responseTargetMillis the time within which the route wants an answer to begin
+   * @param responseTargetMillis the route's response target, in milliseconds
    */
   public boolean hasSpareCapacity(String service, long responseTargetMillis, long nowNanos) {
     return service(service).localWait().currentMillis(nowNanos)
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ProgramProfile.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ProgramProfile.java
@@ -6,12 +6,12 @@
 import java.util.Set;
 
 /**
- * What programs of one kind take, learnt from this process's own requests. Turns and openings are
- * counted apart and over all programs, so that the ratio holds also where the turns of one program
- * come through many nodes.
+ * The typical number of turns, pause and finish target of the programs of one route, learned from
+ * this node's own requests. Turns and program starts are counted separately and over all programs,
+ * so that their ratio also holds where the turns of one program arrive at many nodes.
  */
 final class ProgramProfile {
-  /** Within this time a count loses most of its weight. */
+  /** Time constant of the exponential decay of the counts. */
   private static final double DECAY_NANOS = 60e9;
 
   private static final double MIN_STARTS = 5;
@@ -22,13 +22,14 @@
   private static final int MAX_TOOLS = 8;
 
   /**
-   * A program's turns come after its opening, on average by half of its time; openings are counted
-   * so much later, else turns would seem few while demand grows. The half is about this part of the
-   * aim.
+   * The turns of a program follow its start, on average by half of its duration. Program starts are
+   * counted with that delay, since otherwise the number of turns per program would be
+   * underestimated while demand grows. Half of the duration is about this part of the finish
+   * target.
    */
   private static final double HALF_DURATION_PART_OF_TARGET = 1.0 / 3;
 
-  /** Programs that began and are not counted yet, in the order in which they are. */
+  /** Programs that have started and are not counted yet, in the order in which they will be. */
   private final PriorityQueue<Start> uncounted =
       new PriorityQueue<>(Comparator.comparingLong(Start::countNanos));
 
@@ -45,16 +46,16 @@
 
   private record Start(long countNanos, long finishTargetMillis) {}
 
-  /** A turn of a program's first line began. */
+  /** Records the start of a turn in a program's first conversation. */
   void turnStarted(long nowNanos) {
     decay(nowNanos);
     turns++;
   }
 
   /**
-   * A program began.
+   * Records that a program started.
    *
-   * @param finishTargetMillis the time within which it should be over; 0 or less if unknown
+   * @param finishTargetMillis the time within which it should finish; 0 or less if unknown
    */
   void programStarted(long finishTargetMillis, long nowNanos) {
     if (!initialized) {
@@ -90,27 +91,27 @@
     }
   }
 
-  /** Notes the time from the end of a turn to the next one of the same line. */
+  /** Adds the time from the end of a turn to the next one of the same conversation. */
   void observePause(double millis) {
     pauseMillis = pauseObserved ? pauseMillis + PAUSE_SMOOTHING * (millis - pauseMillis) : millis;
     pauseObserved = true;
   }
 
-  /** A program called an engine of this service between two turns. */
+  /** Records that a program called an engine of this service between two turns. */
   void toolCalled(String service) {
     if (toolServices.size() < MAX_TOOLS) {
       toolServices.add(service);
     }
   }
 
-  /** The services that programs of this kind call between two turns. */
+  /** The services that programs of this route call between two turns. */
   Set<String> toolServices() {
     return toolServices;
   }
 
   /**
-   * Whether enough was seen to predict by. Before the first programs are over, turns are counted
-   * too low against openings.
+   * Whether there are enough observations for a prediction. Before the first programs have
+   * finished, the number of turns per program is underestimated.
    */
   boolean hasEnoughObservations(long nowNanos) {
     return starts >= MIN_STARTS
@@ -118,17 +119,17 @@
         && nowNanos - sinceNanos >= finishTargetMillis() * 1e6;
   }
 
-  /** Turns of a program's first line; at least 1. */
+  /** The number of turns in a program's first conversation; at least 1. */
   double turnsPerProgram() {
     return starts == 0 ? 1 : Math.max(1, turns / starts);
   }
 
-  /** The mean time within which programs should be over, in milliseconds. */
+  /** The mean finish target, in milliseconds. */
   double finishTargetMillis() {
     return finishTargets == 0 ? 0 : sumFinishTargetMillis / finishTargets;
   }
 
-  /** The time between two turns, in milliseconds; 0 before one was seen. */
+  /** The time between two turns, in milliseconds; 0 before one was observed. */
   double pauseMillis() {
     return pauseMillis;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/RetryDelay.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/RetryDelay.java
@@ -2,7 +2,7 @@
 
 import java.util.random.RandomGenerator;
 
-/** Spreads the times after which refused callers are to return, so that they come apart. */
+/** Adds jitter to retry delays, so that refused callers do not return at the same time. */
 public final class RetryDelay {
   private static final double MIN_FACTOR = 0.5;
 
@@ -11,16 +11,16 @@
   /**
    * Creates a source of delays.
    *
-   * @param random picks each delay
+   * @param random draws each delay
    */
   public RetryDelay(RandomGenerator random) {
     this.random = random;
   }
 
   /**
-   * A delay drawn evenly from half to one and a half of a usual one.
+   * Returns a delay drawn uniformly from 0.5 to 1.5 times the mean.
    *
-   * @param meanMillis the mean; 0 stands for no advice and stays 0
+   * @param meanMillis the mean, in milliseconds; 0 or less means no advice, and the result is 0
    */
   public long jittered(long meanMillis) {
     return meanMillis <= 0 ? 0 : Math.round(meanMillis * (MIN_FACTOR + random.nextDouble()));
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/RouteAdmission.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/RouteAdmission.java
@@ -2,30 +2,39 @@
 
 import org.baykeel.gateway.directory.ServicePerformance;
 
-/** What is known and decided of the programs of one kind and rank at one service. */
+/** The admission state of the programs of one route and rank at one service. */
 final class RouteAdmission {
-  /** Where refusals begin, and where only the least share may begin, in parts of the slack. */
+  /**
+   * The slack use (see {@link DurationPrediction}) at which refusals start, and the one at which
+   * only the minimum share is admitted.
+   */
   private static final double SLACK_USE_AT_FIRST_REFUSAL = 0.2;
 
   private static final double SLACK_USE_AT_MIN_SHARE = 0.7;
 
   /**
-   * The same for kinds of which too little was seen: what a turn takes beyond its usual time, in
-   * multiples of the wanted first answer.
+   * The same two bounds while the profile has too few observations: the excess of a turn over its
+   * baseline time, in multiples of the response target.
    */
   private static final double EXCESS_AT_FIRST_REFUSAL = 0.25;
 
   private static final double EXCESS_AT_MIN_SHARE = 0.75;
 
-  /** Refusals begin so much earlier for each rank below the most urgent. */
+  /** Refusals start earlier by this much for each rank below the most urgent one. */
   private static final double OFFSET_PER_RANK = 0.06;
 
   private static final double MAX_RANK_OFFSET = 0.18;
 
-  /** The program time of a kind of which too little was seen, in wanted first answers. */
+  /**
+   * The assumed duration of a program while the profile has too few observations, in multiples of
+   * the response target.
+   */
   private static final double DEFAULT_PROGRAM_TARGETS = 4;
 
-  /** What a node sees of its own is late and of few requests: it counts for so much more. */
+  /**
+   * Without a recent load report a node has only the waits of its own requests, which are few and
+   * known late; they are weighted by this factor.
+   */
   private static final double NO_REPORT_FACTOR = 2;
 
   private static final long ACTIVE_NANOS = 5_000_000_000L;
@@ -66,23 +75,23 @@
     return responseTargetMillis;
   }
 
-  /** A program of this kind asks to begin. */
+  /** Records a request to start a program of this route. */
   void onRequest(long responseTarget, long nowNanos) {
     responseTargetMillis = Math.max(1, responseTarget);
     requestedNanos = nowNanos;
   }
 
-  /** Whether a program of this kind asked lately. */
+  /** Whether a start was requested within the last 5 s. */
   boolean active(long nowNanos) {
     return nowNanos - requestedNanos < ACTIVE_NANOS;
   }
 
   /**
-   * Adopts the present state of its service.
+   * Updates prediction and share from the present state of the service.
    *
-   * @param waitMillis the wait of a turn for a place
-   * @param loadKnown whether a recent view of the engines' load tells that places are few
-   * @param hasCapacity whether there is room for any program
+   * @param waitMillis how long a turn waits for a slot
+   * @param loadKnown whether recent load reports are available, by which free slots are judged
+   * @param hasCapacity whether the service has capacity for any program
    */
   void update(
       ServicePerformance performance,
@@ -118,17 +127,17 @@
     return Math.max(0, Math.min(1, (atMinShare - value) / (atMinShare - atFirstRefusal)));
   }
 
-  /** The share that its own prediction allows. */
+  /** The share that the prediction for this route allows. */
   double ownShare() {
     return share.share();
   }
 
-  /** Whether the next program may begin, if this share of them may. */
+  /** Returns whether the next program is admitted, if this share of such programs is. */
   boolean admitNext(double tenantShare) {
     return share.admitNext(tenantShare);
   }
 
-  /** The predicted time of a program, in milliseconds. */
+  /** The predicted duration of a program, in milliseconds. */
   double programMillis() {
     return prediction.programMillis(responseTargetMillis * DEFAULT_PROGRAM_TARGETS);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ServiceAdmission.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ServiceAdmission.java
@@ -6,15 +6,17 @@
 import org.baykeel.gateway.directory.EngineDirectory;
 import org.baykeel.gateway.directory.ServicePerformance;
 
-/** The kinds of programs whose turns run at one service, and their shares. */
+/** The admission state of all routes whose turns run at one service. */
 final class ServiceAdmission {
-  /** Below this part of its places in use a service has room for any program. */
+  /** While its occupancy is below this bound, the service has capacity for any program. */
   private static final double SPARE_OCCUPANCY = 0.7;
 
-  /** The same where its load is unknown: a wait below this part of the wanted first answer. */
+  /**
+   * The same bound while the load is unknown: a wait below this multiple of the response target.
+   */
   private static final double SPARE_WAIT_TARGETS = 0.25;
 
-  /** No kind gets less than this part of the share of the most urgent one. */
+  /** Every route gets at least this part of the share of the most urgent one. */
   private static final double MIN_PART_OF_MOST_URGENT = 0.25;
 
   private static final long REFRESH_INTERVAL_NANOS = 20_000_000L;
@@ -51,7 +53,7 @@
         key -> new RouteAdmission(key.route(), key.rank(), profile, random.nextDouble()));
   }
 
-  /** Notes how long a request waited at an engine beyond what its prompt explains. */
+  /** Records how long a request waited at an engine beyond the time that its prompt explains. */
   void observeWait(double millis, long nowNanos) {
     localWait.observe(millis, nowNanos);
     refreshCapacity(nowNanos);
@@ -73,8 +75,8 @@
   }
 
   /**
-   * The share of a kind's programs that may begin now. The shares of the other kinds follow too,
-   * since a kind never gets more than a more urgent one.
+   * Returns the share of a route's programs that may start now. The shares of the other routes are
+   * updated too, since a route never gets a larger share than a more urgent one.
    */
   double share(RouteAdmission requesting, long responseTargetMillis, long nowNanos) {
     requesting.onRequest(responseTargetMillis, nowNanos);
@@ -106,7 +108,10 @@
     return localCapacity && toolsHaveSpareCapacity(route, nowNanos);
   }
 
-  /** What is no room for a more urgent kind is none for this one. */
+  /**
+   * The lowest response target among this route and those at least as urgent: a wait that leaves no
+   * capacity for a more urgent route leaves none for this one.
+   */
   private long lowestTargetMillis(RouteAdmission route, long nowNanos) {
     long lowest = route.responseTargetMillis();
     for (RouteAdmission other : routes.values()) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ServiceCapacity.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ServiceCapacity.java
@@ -6,12 +6,12 @@
 import org.baykeel.gateway.directory.LoadEstimate;
 
 /**
- * The room of a service, of its engines that take work.
+ * The capacity of a service, over those of its engines that take work.
  *
- * @param known whether the load of at least half of their places is known
- * @param requestsPerSlot requests that engines have taken, for each place; above 1 while some wait
+ * @param known whether the load is known for at least half of their slots
+ * @param requestsPerSlot requests that engines have accepted, per slot; above 1 while some wait
  * @param memoryShare the part of their memory that is in use
- * @param waitingPerSlot requests that wait for a place, for each place
+ * @param waitingPerSlot requests that wait for a slot, per slot
  * @param ageMillis the mean age of the reports that count; -1 if there are none
  */
 record ServiceCapacity(
@@ -22,7 +22,10 @@
     long ageMillis) {
   static final ServiceCapacity UNKNOWN = new ServiceCapacity(false, 0, 0, 0, -1);
 
-  /** Programs that begin on the word of an older report may have filled the service since. */
+  /**
+   * An older report says nothing about free slots: programs that started since then may have taken
+   * them.
+   */
   private static final long RECENT_MILLIS = 1_000;
 
   private static final double MIN_KNOWN_PART = 0.5;
@@ -60,20 +63,20 @@
         Math.round(sumAgeNanos / knownSlots / 1e6));
   }
 
-  /** Whether it is recent enough to tell of free places. */
+  /** Whether the reports are recent enough to judge whether slots are free. */
   boolean recent() {
     return known && ageMillis < RECENT_MILLIS;
   }
 
-  /** Requests for each place, or the part of the memory in use if that is more. */
+  /** The requests per slot, or the part of the memory in use if that is larger. */
   double occupancy() {
     return Math.max(requestsPerSlot, memoryShare);
   }
 
   /**
-   * The same service with more requests.
+   * Returns the same service with more requests.
    *
-   * @param growth further requests for each place, at least 0
+   * @param growth additional requests per slot, at least 0
    */
   ServiceCapacity withGrowth(double growth) {
     double grown = requestsPerSlot + growth;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/TurnPauses.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/TurnPauses.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Measures the time between the turns of lines that this process serves. */
+/** Measures the pauses between the turns of the conversations that this node serves. */
 final class TurnPauses {
   private static final int MAX_CONVERSATIONS = 1_024;
   private static final long IN_PROGRESS = Long.MIN_VALUE;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/UtilizationTrend.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/UtilizationTrend.java
@@ -1,18 +1,18 @@
 package org.baykeel.gateway.admission;
 
 /**
- * How fast the use of a service grows. What is known of it is old by some tenths of a second, and
- * programs that begin meanwhile come on top; without looking ahead, a sudden rise is answered only
- * once it has filled the service with more than it can end in time.
+ * Estimates how fast the utilization of a service grows. Load reports are some tenths of a second
+ * old, and programs that started since then add to the load; without extrapolation, a sudden rise
+ * would be noticed only after the service had admitted more than it can finish in time.
  */
 final class UtilizationTrend {
   private static final double FAST_NANOS = 100e6;
   private static final double SLOW_NANOS = 500e6;
 
-  /** How long the effect of a decision takes to show, beside the age of what is known. */
+  /** The time until a decision shows in the load, on top of the age of the load report. */
   private static final double EFFECT_DELAY_NANOS = 1e9;
 
-  /** After a longer time without a sample the trend begins anew. */
+  /** The trend restarts after a longer interval between samples. */
   private static final long MAX_SAMPLE_INTERVAL_NANOS = 1_500_000_000L;
 
   private double fast;
@@ -20,7 +20,7 @@
   private long sampledNanos;
   private boolean initialized;
 
-  /** Notes the present use, in requests for each place. */
+  /** Adds a sample of the utilization, in requests per slot. */
   void sample(double utilization, long nowNanos) {
     long intervalNanos = nowNanos - sampledNanos;
     if (!initialized || intervalNanos > MAX_SAMPLE_INTERVAL_NANOS) {
@@ -35,9 +35,9 @@
   }
 
   /**
-   * What the use grows by until a decision of now shows; 0 if it falls.
+   * The growth expected until a decision made now takes effect; 0 if the utilization falls.
    *
-   * @param ageNanos the age of the last sample when it was taken
+   * @param ageNanos the age of the load report behind the last sample
    */
   double growth(double ageNanos) {
     double perNano = (fast - slow) / (SLOW_NANOS - FAST_NANOS);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/ServiceSimulation.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/ServiceSimulation.java
@@ -14,9 +14,9 @@
 import org.baykeel.gateway.testing.TestingEventLoop;
 
 /**
- * Programs that run at a service in virtual time, through many nodes of which each decides on its
- * own. A turn takes a place of an engine, or waits for one, and takes longer the more run beside
- * it; callers leave turns that wait too long and come back once if they are refused.
+ * Simulates programs at one service in virtual time, through many nodes of which each decides on
+ * its own. A turn takes a slot of an engine or waits for one, and takes longer the more turns run
+ * beside it. Callers drop turns that wait too long, and retry once if their program is refused.
  */
 final class ServiceSimulation {
   static final int ENGINES = 9;
@@ -52,13 +52,13 @@
     reportLoad();
   }
 
-  /** An engine as it is. */
+  /** The actual state of an engine. */
   private static final class EngineState {
     final ArrayDeque<Turn> waiting = new ArrayDeque<>();
     int running;
   }
 
-  /** One node: what it believes, and its admission. */
+  /** One node: its view of the engines, and its admission. */
   private final class Node {
     final EngineDirectory directory = new EngineDirectory(1);
     final ProgramAdmission admission =
@@ -72,7 +72,9 @@
     }
   }
 
-  /** A program from its first ask on; times in milliseconds, 0 for what did not happen. */
+  /**
+   * A program from its first request on; times in milliseconds, 0 for events that did not happen.
+   */
   final class Program {
     final int turns = 3 + random.nextInt(6);
     final long requestedMillis = millis();
@@ -142,7 +144,7 @@
     }
   }
 
-  /** One turn at the less busy of two engines. */
+  /** One turn, sent to the less loaded of two random engines. */
   private final class Turn {
     private final Program program;
     private final Node node;
@@ -231,7 +233,7 @@
     }
   }
 
-  /** All nodes start with nothing learnt. */
+  /** Restarts all nodes without their observations. */
   void restartNodes() {
     nodes.clear();
     for (int i = 0; i < NODES; i++) {
@@ -239,12 +241,15 @@
     }
   }
 
-  /** Nobody hears of the load of engines any more. */
+  /** Stops all further load reports. */
   void loseReports() {
     reportsLost = true;
   }
 
-  /** The last engines finish what they run and get nothing new; what waits there goes elsewhere. */
+  /**
+   * Removes the last engines: they finish what they run and get nothing new, and requests that wait
+   * there are sent elsewhere.
+   */
   void loseEngines(int count) {
     List<EngineState> removed = engines.subList(remainingEngines - count, remainingEngines);
     remainingEngines -= count;
@@ -261,7 +266,7 @@
     }
   }
 
-  /** Programs ask to begin, evenly on average, for a while. */
+  /** Schedules programs that ask to start, at random times within a period. */
   void demand(double perSecond, long forMillis) {
     demand("kind", 0, perSecond, forMillis);
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/TestAdmissionUnderLoad.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/TestAdmissionUnderLoad.java
@@ -9,15 +9,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Three times the room for eight seconds between ordinary demand, over 77 nodes of which each sees
- * its own programs and a late view of the engines.
+ * Demand of three times the capacity for eight seconds, with ordinary demand before and after it,
+ * at 77 nodes. Each node sees only its own programs and outdated load reports, so that the nodes
+ * together could admit too many or too few programs.
  */
 class TestAdmissionUnderLoad {
   private static final long CALM_MILLIS = 12_000;
   private static final long BURST_MILLIS = 8_000;
   private static final long AFTER_MILLIS = 12_000;
 
-  /** From ordinary demand to full use takes the time of a program. */
+  /** The rise from ordinary demand to full use takes the duration of a program. */
   private static final long RISE_MILLIS = 3_000;
 
   private static final long RECOVERY_MILLIS = 3_000;
@@ -26,7 +27,7 @@
   private static final double MIN_IN_TIME = 0.95;
   private static final double MAX_REFUSED = 0.01;
 
-  /** The most programs a second that end in their aim at any steady demand if none is refused. */
+  /** The most programs per second that finish in time at any steady demand if none is refused. */
   private static double bestPerSecond;
 
   private long burst;
@@ -89,8 +90,8 @@
 
   private String figures(ServiceSimulation service) {
     return String.format(
-        "of the best %.2f, in aim of those begun in the burst %.2f and after the recovery %.3f,"
-            + " refused before %.4f and after the recovery %.4f",
+        "part of the best rate %.2f, in time of those started in the burst %.2f and after recovery %.3f,"
+            + " refused before the burst %.4f and after recovery %.4f",
         partOfBest(service),
         inTime(service, burst, end),
         inTime(service, end + RECOVERY_MILLIS, Long.MAX_VALUE),
@@ -147,7 +148,7 @@
     assertServed(service, MIN_PART_OF_BEST);
   }
 
-  @ParameterizedTest(name = "{0} of the room for twenty seconds")
+  @ParameterizedTest(name = "{0} of the capacity for twenty seconds")
   @ValueSource(doubles = {0.3, 0.6, 0.75})
   void ordinaryDemandIsServedInTimeAndHardlyAnyProgramIsRefused(double partOfCapacity) {
     ServiceSimulation service = new ServiceSimulation(1, false);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/TestProgramAdmission.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/TestProgramAdmission.java
@@ -64,7 +64,7 @@
     }
   }
 
-  /** An engine that tells how many requests it has. */
+  /** Makes an engine report its number of requests. */
   private void reportLoad(String service, int requests) {
     if (engines.ofService(service).isEmpty()) {
       engines.put(new EngineRecord(service, service, "10.0.0.1", 80, "z", SLOTS, false));
@@ -89,7 +89,7 @@
     assertTrue(admitted(request("kind", 0, RESPONSE_TARGET_MILLIS), 100) <= 6);
   }
 
-  /** Before the first programs are over, events come twice as late as while there was room. */
+  /** Before the first programs have finished, the time between events doubles. */
   @Test
   void withoutFreeSlotsALowTokenRateDecidesEvenWithFewObservations() {
     reportLoad("s", 5);
@@ -152,7 +152,7 @@
       now += 30 * MILLI;
       reportLoad("s", 9);
       observeWaits(0);
-      // Until something is known of programs, one is taken to last four wanted answers.
+      // Without observations, a program is assumed to take four times the response target.
       if (i < 20) {
         assertFalse(admission.unrestricted(request, now), i + " steps after the fall");
       }
