--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/AdmissionShares.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/AdmissionShares.java
@@ -2,19 +2,19 @@
 
 import org.baykeel.gateway.tenancy.LimitUse;
 
-/** Divides the programs that may begin among those that ask to. */
+/** Distributes the admitted share of programs among the tenants that request to start one. */
 @FunctionalInterface
 public interface AdmissionShares {
-  /** The same share for all. */
+  /** Gives all the same share. */
   AdmissionShares EVEN = (group, share, limitUse) -> share;
 
   /**
-   * The share of programs like one that asks to begin that may do so. Asked once for each, also
-   * while all may begin, so that it is known who asks.
+   * Returns the share of programs like this one that may start. Called once for each program, also
+   * while all are admitted, so that the mix of tenants is known.
    *
-   * @param group what competes for the same room: programs of one kind at one service
-   * @param share the share of all programs that may begin now, 0 to 1
-   * @param limitUse what the tenant of the one that asks asked for lately
+   * @param group the programs that compete for the same capacity: those of one route at one service
+   * @param share the share of all programs that may start now, 0 to 1
+   * @param limitUse the tenant's recent use of its limit
    * @return 0 to 1
    */
   double shareOf(String group, double share, LimitUse limitUse);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/FairShares.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/FairShares.java
@@ -9,20 +9,21 @@
 import org.baykeel.gateway.tenancy.LimitUse;
 
 /**
- * Weighted max-min fairness among tenants, by their limits. A tenant that asks for no more than a
- * level, as a multiple of its limit, passes whole; one that asks for more gets the level. The level
- * is the one at which the programs that asked lately are let in as often as all may be, so what
- * some tenants leave goes to the others. Where nobody's use is known, all get the same share. Each
- * group of programs that compete for the same room has a level of its own.
+ * Weighted max-min fairness among tenants, with their limits as weights. A level is a multiple of
+ * the limit: a tenant whose demand is at or below the level is admitted in full, and one above it
+ * only up to the level. The level is chosen so that, over recent requests, the admitted share on
+ * average equals the share that may start; capacity that some tenants do not use goes to the
+ * others. Where no tenant's use is known, all get the same share. Each group of programs that
+ * compete for the same capacity has its own level.
  *
- * <p>Nothing is agreed on among nodes: each finds the level from what it sees itself.
+ * <p>Nodes do not coordinate: each derives the level from the requests that it receives.
  */
 public final class FairShares implements AdmissionShares {
   private final EventLoop eventLoop;
   private final GatewayLog log;
   private final Map<String, GroupShares> groups = new HashMap<>();
 
-  /** Creates shares that have seen nobody. */
+  /** Creates shares without observations. */
   public FairShares(EventLoop eventLoop, GatewayLog log, GatewayMetrics metrics) {
     this.eventLoop = eventLoop;
     this.log = log;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/GroupShares.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/GroupShares.java
@@ -7,27 +7,28 @@
 import org.baykeel.gateway.tenancy.LimitUse;
 
 /**
- * The tenants that ask to begin programs of one group, and the level up to which they pass whole.
+ * The recent demand for starting programs of one group, and the level up to which tenants are
+ * admitted in full.
  */
 final class GroupShares {
-  /** Nobody gets less than this part of what all get on average. */
+  /** Every tenant gets at least this part of the average share. */
   static final double MIN_PART_OF_MEAN = 0.25;
 
-  /** With fewer observations the mix of tenants is not known. */
+  /** With fewer observations the mix of tenants is unknown, and all get the same share. */
   private static final double MIN_OBSERVATIONS = 6;
 
   /**
-   * A tenant that was silent for long counts as one that asks for this multiple: else all small
-   * tenants together would pass whatever the share.
+   * A tenant without recent requests counts with this multiple, since otherwise all such tenants
+   * together would be admitted whatever the share.
    */
   private static final double MIN_MULTIPLE = 0.05;
 
-  /** Halvings of the range in which the level lies. */
+  /** Bisection steps by which the level is found. */
   private static final int BISECTION_STEPS = 30;
 
   private static final long LOG_INTERVAL_NANOS = 1_000_000_000L;
 
-  /** A smaller change of the level is not worth a line. */
+  /** Relative change of the level below which nothing is logged. */
   private static final double MIN_LOGGED_CHANGE = 0.1;
 
   private final String group;
@@ -40,9 +41,9 @@
   private long loggedNanos;
 
   /**
-   * Creates shares that have seen nobody.
+   * Creates shares without observations.
    *
-   * @param group names it in the log
+   * @param group the name of the group, for the log
    */
   GroupShares(String group, EventLoop eventLoop, GatewayLog log) {
     this.group = group;
@@ -51,7 +52,7 @@
     this.loggedNanos = eventLoop.nanoTime() - LOG_INTERVAL_NANOS;
   }
 
-  /** The mean share of the tenants of a class that asked lately; 0 if there are none. */
+  /** The mean share of the recent tenants that match; 0 if there are none. */
   double meanShare(Predicate<LimitUse> tenants) {
     return samples.mean(multiple -> tenants.test(new LimitUse(multiple)), this::atLevel);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/LimitUseSamples.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/fairness/LimitUseSamples.java
@@ -5,12 +5,16 @@
 import java.util.function.DoubleUnaryOperator;
 import org.baykeel.gateway.tenancy.LimitUse;
 
-/** What the tenants of the last programs that asked to begin here used; older ones count less. */
+/**
+ * The limit use of the tenants behind the latest requests to start a program at this node; older
+ * ones count less.
+ */
 final class LimitUseSamples {
   private static final int MAX_SAMPLES = 64;
 
   /**
-   * The age at which an observation counts e times less: some programs long, and part of a rush.
+   * Time constant of the exponential decay of an observation: several times the duration of a
+   * program, and shorter than a burst.
    */
   private static final double DECAY_NANOS = 5e9;
 
@@ -30,7 +34,7 @@
     }
   }
 
-  /** How many there are, the older ones counting less, as of the last one. */
+  /** The weighted number of observations, as of the last one. */
   double count() {
     return Arrays.stream(weights, 0, size).sum();
   }
@@ -39,12 +43,12 @@
     return Arrays.stream(multiples, 0, size).max().orElse(0);
   }
 
-  /** How many there are whose multiple is of a class. */
+  /** The unweighted number of observations whose multiple matches. */
   int count(DoublePredicate multiple) {
     return (int) Arrays.stream(multiples, 0, size).filter(multiple).count();
   }
 
-  /** The weighted mean over all whose multiple is of a class; 0 if there are none. */
+  /** The weighted mean over the observations whose multiple matches; 0 if there are none. */
   double mean(DoublePredicate multiple, DoubleUnaryOperator value) {
     double sum = 0;
     double weight = 0;
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/fairness/TestFairShares.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/fairness/TestFairShares.java
@@ -38,7 +38,7 @@
         metrics);
   }
 
-  /** A tenant and what became of its programs. */
+  /** A tenant and the outcome of its programs. */
   private static final class TenantLoad {
     private final double multiple;
     private int requested;
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Programs come to random nodes; a tenant of multiple 1 asks for fifteen a second, so each node
-   * sees less than one a second of each.
+   * Programs arrive at random nodes. A tenant with multiple 1 asks for 15 per second, so each node
+   * sees less than one per second of each tenant.
    */
   private void burst(List<TenantLoad> loads, double share, int seconds) {
     List<FairShares> nodes = IntStream.range(0, NODES).mapToObj(node -> create()).toList();
@@ -77,8 +77,8 @@
   }
 
   /**
-   * Twice the room for eight seconds: six tenants ask for 0.4 of their limits, three for all of
-   * them, and one for eight times its usual, which is four times its limit.
+   * Demand of twice the capacity for eight seconds: six tenants ask for 0.4 of their limits, three
+   * for all of them, and one for eight times its usual demand, which is four times its limit.
    */
   @Test
   void tenantsWithinTheirShareAreServedWhileOneSendsEightTimesItsUsualDemand() {
@@ -89,7 +89,7 @@
     int within = loads.stream().limit(6).mapToInt(load -> load.admitted).sum();
     int withinAsked = loads.stream().limit(6).mapToInt(load -> load.requested).sum();
     assertTrue(within >= 0.9 * withinAsked, within + " of " + withinAsked);
-    assertEquals(0.5, (double) admitted / requested, 0.08, "all together");
+    assertEquals(0.5, (double) admitted / requested, 0.08, "all tenants together");
     double busy = loads.subList(6, 9).stream().mapToInt(load -> load.admitted).average().orElse(0);
     TenantLoad hot = loads.get(9);
     assertTrue(hot.admitted <= 1.5 * busy, hot.admitted + " against " + busy);
@@ -112,7 +112,7 @@
     }
   }
 
-  @ParameterizedTest(name = "{0} of all may begin")
+  @ParameterizedTest(name = "share {0} of all programs may start")
   @CsvSource({"1", "0.9", "0.5", "0.1", "0"})
   void noTenantGetsLessThanAQuarterOfTheAverageShare(double share) {
     for (int i = 0; i < 200; i++) {
@@ -162,7 +162,7 @@
     assertTrue(text.contains("opening_share_beyond_limit_thousandths 250"), text);
   }
 
-  /** Sixty programs of small tenants begin at another service while one tenant asks here. */
+  /** Sixty programs of small tenants start at another service while one tenant asks at this one. */
   @Test
   void aBurstAtOneServiceDoesNotChangeTheSharesAtAnother() {
     FairShares shares = create();
@@ -176,7 +176,7 @@
     assertEquals(0.3, got, 1e-6);
   }
 
-  /** All tenants were silent for long, and together ask for more than there is room for. */
+  /** All tenants were idle for long, and together ask for more than the capacity. */
   @Test
   void tenantsThatWereIdleForLongGetEqualShares() {
     FairShares shares = create();
