--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AttemptSequence.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AttemptSequence.java
@@ -10,14 +10,14 @@
 import org.baykeel.gateway.scheduling.EngineSelector;
 
 /**
- * The attempts of one request, one after the other, at engines of its service: the choice of an
- * engine, the wait for room, and whether a failed attempt is followed by another.
+ * The attempts of one call, one after the other, at engines of its service: selects an engine,
+ * waits for capacity, and decides whether a failed attempt is followed by another.
  *
  * <p>Invariant: a request that may run only once is sent again only if the engine states that it
- * did not run it or if not one byte of it was sent.
+ * did not run it, or if not one byte of it was sent.
  */
 final class AttemptSequence implements EngineAttempt.Owner, ResponseSource, WaitQueue.Waiter {
-  /** Engines that are asked one after the other before the request waits for room. */
+  /** Engines that are tried one after the other before the request waits for capacity. */
   private static final int MAX_SENDS = 6;
 
   private static final long BUSY_RETRY_MILLIS = 150;
@@ -25,24 +25,24 @@
   /** The shortest wait after a round of engines that did not take the request. */
   private static final long MIN_WAIT_MILLIS = 10;
 
-  /** What is kept of a request's time for its work at least, when it waits for room. */
+  /** Lower bound of the time reserved for the work of a request that waits for capacity. */
   private static final long MIN_WORK_MILLIS = 20;
 
-  /** Hears what the attempts come to; exactly one of the last three ends them. */
+  /** Receives the outcome of the attempts; exactly one of the last three methods ends them. */
   interface Owner {
-    /** A whole event of a stream. */
+    /** A complete event of a stream. */
     void onStreamEvent(StreamEvent event);
 
-    /** The stream is whole. */
+    /** The stream is complete. */
     void onStreamComplete();
 
-    /** A whole answer that is not a stream. */
+    /** A complete response that is not a stream. */
     void onWholeResponse(ResponseHead head, byte[] body);
 
     /**
-     * No attempt follows.
+     * No further attempt follows.
      *
-     * @param retryMillis after which time the caller may come back; 0 if it should not
+     * @param retryMillis when the caller may retry, in milliseconds; 0 if it should not
      */
     void onAttemptsFailed(ErrorKind kind, long retryMillis, String detail);
   }
@@ -87,7 +87,7 @@
   }
 
   /**
-   * Sends the request to an engine, after those that wait for room already.
+   * Sends the request to an engine, after the requests that already wait for capacity.
    *
    * @param body the body for engines
    */
@@ -98,7 +98,7 @@
     }
   }
 
-  /** Whether the request was sent or waits for room to be sent. */
+  /** Whether the request was sent or waits for capacity. */
   boolean started() {
     return engineBody != null;
   }
@@ -108,7 +108,7 @@
     return sends;
   }
 
-  /** How often it was sent less those sends after which it certainly did not run. */
+  /** How often the request was sent, without the sends after which it certainly did not run. */
   int runs() {
     return runs;
   }
@@ -118,7 +118,7 @@
     return silenceWatch.firstEventNanos();
   }
 
-  /** Cancels what is under way; may be repeated. */
+  /** Cancels the current attempt, if any; idempotent. */
   void cancel(String outcome) {
     if (attempt != null) {
       attempt.cancel();
@@ -126,7 +126,7 @@
     }
   }
 
-  /** The request is over: nothing more is sent. */
+  /** Ends the attempts: nothing more is sent. */
   void end() {
     ended = true;
     if (waitTicket != null) {
@@ -168,7 +168,9 @@
     silenceWatch.sent();
   }
 
-  /** While the caller reads nothing, the engine is not listened to and can't fall silent. */
+  /**
+   * While the caller does not read, the engine is not read either, so its silence does not count.
+   */
   @Override
   public void pause() {
     silenceWatch.pause();
@@ -204,9 +206,9 @@
   }
 
   /**
-   * Waits until an engine is expected to have a place.
+   * Waits until an engine is expected to have a free slot.
    *
-   * @return false if no engine takes work, or the time for waiting is over
+   * @return false if no engine takes work, or if a slot is expected only after the time limit
    */
   private boolean waitForCapacity() {
     long nextCapacityNanos = nextCapacityNanos();
@@ -229,17 +231,20 @@
     return new WaitQueue.Requirement(call.service(), call.residency(), call.route().repeatable());
   }
 
-  /** Whether the request came early enough to end before its program is to be over. */
+  /** Whether the request arrived early enough to finish before its program is due. */
   private boolean canMeetTarget() {
     return call.attributes().finishMillis() > workMillis();
   }
 
-  /** The usual time of its work. */
+  /** The usual time of the request's work. */
   private double workMillis() {
     return Math.max(MIN_WORK_MILLIS, context.selector().usualResponseMillis(criteria));
   }
 
-  /** When the program is to be over or the caller no longer waits, whichever is first. */
+  /**
+   * The due time of the program or the caller's deadline, whichever is first; only the deadline if
+   * the due time cannot be met.
+   */
   private long dueNanos() {
     long finishTargetNanos =
         call.request().receivedNanos() + call.attributes().finishMillis() * 1_000_000;
@@ -249,9 +254,9 @@
   }
 
   /**
-   * When a wait for room must end, so that the work can still be done in its time: for what may run
-   * only once, and would be lost with its program, in that of its caller; for other requests also
-   * in what is left of the program's aim.
+   * When a wait for capacity must end so that the work can still finish in time. A request that may
+   * run only once has until the caller's deadline, since its program is lost with it; any other
+   * request must also meet its program's due time if it still can.
    */
   private long giveUpNanos() {
     long limitNanos = call.route().repeatable() ? dueNanos() : call.deadlineNanos();
@@ -260,7 +265,7 @@
 
   private void onNoCapacity() {
     if (relay.headSent() || runs > 0) {
-      owner.onAttemptsFailed(ErrorKind.BACKEND_FAILED, 0, "no engine left");
+      owner.onAttemptsFailed(ErrorKind.BACKEND_FAILED, 0, "no engine left to try");
     } else {
       failWithoutEngine();
     }
@@ -340,7 +345,7 @@
   public void onNotRun(EngineAttempt.NotRun reason, String outcome) {
     runs--;
     if (reason == EngineAttempt.NotRun.FULL) {
-      // It may be asked again once it is expected to have a place.
+      // The engine may be tried again once it is expected to have a free slot.
       anyEngineFull = true;
       triedEngines.remove(attempt.engine().record().id());
     }
@@ -364,7 +369,7 @@
   @Override
   public void onWholeResponse(ResponseHead head, byte[] body) {
     if (relay.headSent()) {
-      onBroken("status " + head.status() + " in place of the rest");
+      onBroken("status " + head.status() + " instead of the rest of the stream");
       return;
     }
     boolean engineFailed = head.status() >= 500;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AuthorizedCall.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AuthorizedCall.java
@@ -9,15 +9,16 @@
 import org.baykeel.gateway.tenancy.LimitUse;
 
 /**
- * A request that was admitted, and what is decided about it before an engine is chosen.
+ * A call that {@link CallAuthorization} has passed, with the decisions made before an engine is
+ * selected.
  *
  * @param request the caller's request
- * @param route how it is served
+ * @param route its route
  * @param caller on whose behalf it runs
- * @param limitUse what its tenant asked for lately
+ * @param limitUse the tenant's recent use of its limit
  * @param service the service that runs it
- * @param tokensPerEvent tokens of one event of a stream of that service
- * @param deadlineNanos when its caller no longer waits, by the event loop's clock
+ * @param tokensPerEvent tokens in one event of that service's streams
+ * @param deadlineNanos the deadline of the caller, by the event loop's clock
  */
 record AuthorizedCall(
     CallRequest request,
@@ -28,15 +29,15 @@
     int tokensPerEvent,
     long deadlineNanos) {
 
-  /** Chooses the service for a request that was admitted. */
+  /** Selects the service of an authorized request. */
   static AuthorizedCall of(
       CallRequest request,
       CallAuthorization.Outcome.Authorized authorized,
-      BackendSelector backendChooser) {
+      BackendSelector backendSelector) {
     Route route = authorized.route();
     CallAttributes attributes = request.attributes();
     String conversation = attributes.conversationOrObject(route.kind() == RouteKind.STREAMING);
-    String service = backendChooser.choose(route, conversation);
+    String service = backendSelector.choose(route, conversation);
     ServiceProfile profile = authorized.configuration().service(service);
     int tokensPerEvent = profile == null ? 0 : profile.tokensPerEvent();
     long timeoutMillis = attributes.timeoutMillis(route.timeoutMillis());
@@ -59,7 +60,7 @@
     return route.kind() == RouteKind.STREAMING;
   }
 
-  /** Where it may run. */
+  /** The regions in which the call may run. */
   Residency residency() {
     return route.residency().and(caller.residency());
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallAttributes.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallAttributes.java
@@ -5,21 +5,21 @@
 import org.baykeel.gateway.tenancy.ApiKey;
 
 /**
- * What a request says about itself beyond its path and body. Absent texts are null, absent numbers
+ * The attributes of a request, parsed from its header fields. Absent texts are null, absent numbers
  * {@link #ABSENT}.
  *
- * @param requestId identifies this request and no other
- * @param deadlineMillis how long the caller waits
- * @param finishMillis the time left until the whole program should be over
- * @param programId the program it belongs to
- * @param sessionId its line of turns within the program
- * @param tokenBudget tokens that all turns of the program may generate
- * @param maxOutputTokens the most that this turn generates
+ * @param requestId the unique identifier of the request
+ * @param deadlineMillis how long the caller waits, in milliseconds
+ * @param finishMillis the time until the whole program is due, in milliseconds
+ * @param programId the program that it belongs to
+ * @param sessionId its conversation within the program
+ * @param tokenBudget the tokens that all turns of the program together may generate
+ * @param maxOutputTokens the most tokens that this turn generates
  * @param prompt the parts of its prompt, in order
- * @param previousTurn the turn it continues
+ * @param previousTurn the turn that it continues
  * @param lastEventId the last event of a broken stream that the caller has
- * @param affinityKey the object it concerns
- * @param apiKey the key that names its tenant
+ * @param affinityKey the object that it concerns
+ * @param apiKey the key that identifies its tenant
  */
 public record CallAttributes(
     String requestId,
@@ -35,20 +35,24 @@
     String affinityKey,
     ApiKey apiKey) {
 
-  /** Stands for a number that the request does not carry. */
+  /** The value of a number that the request does not carry. */
   public static final int ABSENT = -1;
 
   public CallAttributes {
     prompt = List.copyOf(prompt);
   }
 
-  /** Whether the request belongs to the line of turns with which its program began. */
+  /**
+   * Whether the request belongs to the conversation that started its program, and not to a
+   * sub-agent's.
+   */
   public boolean firstConversation() {
     return programId != null && programId.equals(sessionId);
   }
 
   /**
-   * The time that the request has: what its caller waits, but no longer than its route holds it.
+   * The time that the request has, in milliseconds: until the caller's deadline, but no longer than
+   * the route allows.
    *
    * @param timeoutMillis the longest time that the route holds a request
    */
@@ -57,7 +61,8 @@
   }
 
   /**
-   * What must stay with one service: a stream's line of turns, else the object it concerns.
+   * The key of requests that must stay with one service: a stream's conversation, else the object
+   * that the request concerns.
    *
    * @param stream whether the request is a stream
    */
@@ -66,7 +71,8 @@
   }
 
   /**
-   * What should stay with one engine: a stream's program, else the object it concerns.
+   * The key of requests that should stay with one engine: a stream's program, else the object that
+   * the request concerns.
    *
    * @param stream whether the request is a stream
    */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallAuthorization.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallAuthorization.java
@@ -16,25 +16,26 @@
 import org.baykeel.gateway.tenancy.Tenant;
 
 /**
- * The first step of a call: finds its route and its tenant and takes a request off the tenant's
- * limit. Nothing has been sent to an engine before it is over.
+ * The first step of a call: determines its route and tenant and charges one request to the tenant's
+ * limit. Nothing is sent to an engine before this step has completed.
  */
 final class CallAuthorization {
   private static final long NOT_READY_RETRY_MILLIS = 250;
 
-  /** Other nodes may have a configuration that is recent enough; the caller tries one of them. */
+  /** Other nodes may have a recent enough configuration; the caller retries at one of them. */
   private static final long STALE_RETRY_MILLIS = 100;
 
   /**
-   * The store is silent for all nodes, as far as this one can tell. Callers wait no longer than a
-   * third of the time that they have, and their few tries should last until it is back.
+   * Judging by this node's own calls, the store is unreachable for all nodes. Callers wait no
+   * longer than a third of the time that they have, and their few retries should last until the
+   * store is back.
    */
   private static final long OUTAGE_RETRY_MILLIS = 1_000;
 
-  /** A bucket without a holder gets one within a lease. */
+  /** A token bucket without a holder gets one within the term of a lease. */
   private static final long NO_HOLDER_RETRY_MILLIS = 300;
 
-  /** The part of a request's time for which it waits for the decision on its limit. */
+  /** The part of a request's time that the decision on its limit may take. */
   private static final double LIMIT_PART_OF_TIME = 0.3;
 
   private final GatewayContext context;
@@ -43,15 +44,15 @@
   private GatewayConfiguration configuration;
   private Route route;
 
-  /** How the step ended. */
+  /** The outcome of the step. */
   sealed interface Outcome {
     /**
-     * The call may go on.
+     * The call may proceed.
      *
      * @param configuration the configuration under which it runs
      * @param route its route
      * @param caller on whose behalf it runs
-     * @param limitUse what its tenant asked for lately
+     * @param limitUse the tenant's recent use of its limit
      */
     record Authorized(
         GatewayConfiguration configuration, Route route, Caller caller, LimitUse limitUse)
@@ -61,16 +62,16 @@
      * The call ends here.
      *
      * @param route its route; null if it has none
-     * @param tenant the name of its tenant for the log
-     * @param refusal what the caller is told
+     * @param tenant the name of its tenant, for the log
+     * @param refusal the refusal that the caller gets
      */
     record Refused(Route route, String tenant, Refusal refusal) implements Outcome {}
   }
 
   /**
-   * Creates a step that has not begun.
+   * Creates a step that has not started.
    *
-   * @param outcomeListener takes the outcome, exactly once
+   * @param outcomeListener receives the outcome, exactly once
    */
   CallAuthorization(
       GatewayContext context, CallRequest request, Consumer<Outcome> outcomeListener) {
@@ -104,7 +105,10 @@
     if (context.state().configurationRecent()) {
       refuse(ErrorKind.UNKNOWN_RESOURCE, 0, "no route");
     } else {
-      refuse(ErrorKind.NOT_READY, NOT_READY_RETRY_MILLIS, "no route in an old configuration");
+      refuse(
+          ErrorKind.NOT_READY,
+          NOT_READY_RETRY_MILLIS,
+          "no route, but the configuration may be outdated");
     }
   }
 
@@ -118,11 +122,14 @@
       refuse(ErrorKind.NOT_READY, retryMillis(STALE_RETRY_MILLIS), detail);
     } else {
       context.metrics().keyChecked("ruled_out");
-      refuse(ErrorKind.UNAUTHORIZED, 0, "no tenant holds key " + request.attributes().apiKey());
+      refuse(ErrorKind.UNAUTHORIZED, 0, "no tenant has key " + request.attributes().apiKey());
     }
   }
 
-  /** A turn that is refused for its budget does not run, so it takes nothing off the limit. */
+  /**
+   * A turn that is refused because its budget is spent does not run, so it is not charged to the
+   * limit.
+   */
   private boolean budgetSpent(Tenant tenant) {
     CallAttributes attributes = request.attributes();
     return route.kind() == RouteKind.STREAMING
@@ -169,7 +176,7 @@
       authorize(Caller.of(tenant), allowed.use());
     } else if (decision instanceof Decision.Exceeded exceeded) {
       String detail =
-          "tenant's limit, rate="
+          "tenant's limit exceeded, rate="
               + tenant.limit().requestsPerSecond()
               + " burst="
               + tenant.limit().burst()
@@ -181,7 +188,7 @@
           tenant,
           ErrorKind.NOT_READY,
           retryMillis(NO_HOLDER_RETRY_MILLIS),
-          "nobody holds the limit");
+          "no node holds the tenant's limit");
     }
   }
 
@@ -200,7 +207,10 @@
         new Outcome.Refused(route, name, jitteredRefusal(kind, retryMillis, detail)));
   }
 
-  /** The limiter knows when a token is there; before that it is of no use to come back. */
+  /**
+   * Adds jitter to the retry delay, except for a rate limit: there the limiter has computed when a
+   * token will be available, and an earlier retry would be in vain.
+   */
   private Refusal jitteredRefusal(ErrorKind kind, long retryMillis, String detail) {
     boolean rateLimited = kind == ErrorKind.RATE_LIMITED;
     long delay = rateLimited ? retryMillis : context.admission().retryDelay().jittered(retryMillis);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallCoordinator.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallCoordinator.java
@@ -1,6 +1,6 @@
 package org.baykeel.gateway.call;
 
-/** Starts calls. */
+/** Starts the calls of a node. */
 public final class CallCoordinator {
   private final GatewayContext context;
   private final WaitQueue waitQueue;
@@ -10,7 +10,10 @@
     this.waitQueue = new WaitQueue(context.eventLoop());
   }
 
-  /** Takes a whole request; the responder hears of its end, perhaps before this returns. */
+  /**
+   * Starts the call of a completely read request. The responder gets the outcome, possibly before
+   * this method returns.
+   */
   public ClientCall accept(CallRequest request, CallResponder responder) {
     ClientCall call = new ClientCall(context, waitQueue, request, responder);
     call.start();
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallRecord.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallRecord.java
@@ -12,7 +12,7 @@
 import org.baykeel.gateway.telemetry.GatewayMetrics;
 import org.baykeel.gateway.urgency.Urgency;
 
-/** What the log and the metrics tell of one call. */
+/** Records one call for the log and the metrics. */
 final class CallRecord {
   private final CallRequest request;
   private final GatewayLog log;
@@ -25,28 +25,31 @@
   private int unreadTokens;
   private int lastRank = Urgency.UNRANKED;
 
-  /** What a call waits for besides its engine. */
+  /** The reasons for which a call waits, other than its engine. */
   enum Wait {
-    /** Its key and a token of its tenant's limit. */
+    /**
+     * The check of its key, a token of its tenant's limit and the admission decision on its
+     * program.
+     */
     ADMISSION,
     /** The store's decision on its tokens. */
     GRANT,
-    /** The turns that it continues. */
+    /** The lookup of the turns that it continues. */
     HISTORY,
-    /** The store's word that its turn is kept. */
+    /** The storing of its turn. */
     STORE_TURN
   }
 
   /**
-   * How a call ended.
+   * The end of a call.
    *
    * @param route its route, or null
-   * @param status the status that the caller got; 0 if its stream was cut
-   * @param outcome one phrase
-   * @param firstEventNanos when its first event came; 0 if none did
-   * @param sends engines that it was sent to
-   * @param runs engines that may have run it
-   * @param events events that the caller got
+   * @param status the status sent to the caller; 0 if its stream was cut
+   * @param outcome a short phrase for the log
+   * @param firstEventNanos when its first event arrived; 0 if none did
+   * @param sends how often it was sent to an engine
+   * @param runs how many of the sends may have run
+   * @param events the number of events sent to the caller
    */
   record End(
       Route route,
@@ -68,7 +71,7 @@
     this.eventLoop = eventLoop;
   }
 
-  /** Notes on whose behalf the call runs. */
+  /** Sets the tenant's name for the log. */
   void setTenant(String name) {
     tenant = name;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallRequest.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallRequest.java
@@ -7,14 +7,14 @@
 import org.baykeel.gateway.urgency.RankedRequest;
 
 /**
- * A caller's request, read whole.
+ * A caller's request, completely read.
  *
  * @param method the HTTP method
- * @param target path and query as sent
+ * @param target path and query as received
  * @param host the authority
- * @param headers all header fields as sent
+ * @param headers all header fields as received
  * @param body the body without its framing
- * @param attributes what the header fields mean
+ * @param attributes the attributes parsed from the header fields
  * @param receivedNanos when its last byte was read
  */
 @SuppressWarnings("ArrayRecordComponent")
@@ -34,7 +34,7 @@
   }
 
   /**
-   * What the request's rank depends on.
+   * Returns the attributes of the request that its urgency depends on.
    *
    * @param route its route
    * @param caller on whose behalf it runs
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallResponder.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallResponder.java
@@ -2,27 +2,33 @@
 
 import org.baykeel.gateway.buffering.CallerFlow;
 
-/** The way back to a caller. Exactly one of refuse, answer, or begin is called, once. */
+/**
+ * Sends the response to a caller. At most one of {@link #refuse}, {@link #respond} and {@link
+ * #startStream} is called, and only once; none if the caller has disconnected.
+ */
 public interface CallResponder {
 
-  /** Counts what is held for the caller, and holds its answer's source back if that is much. */
+  /**
+   * Counts the bytes held for the caller, and pauses the source of its response while there are too
+   * many.
+   */
   CallerFlow flow();
 
-  /** Ends the request with an answer of baykeel's own. */
+  /** Ends the request with a response that the node itself generates. */
   void refuse(Refusal refusal);
 
-  /** Passes on a whole answer. */
+  /** Passes on a complete response. */
   void respond(ResponseHead head, byte[] body);
 
-  /** Begins to pass on a stream. */
+  /** Starts to pass on a stream. */
   void startStream(ResponseHead head);
 
-  /** Passes on a whole event of a stream that has begun. */
+  /** Passes on a complete event of a started stream. */
   void sendEvent(byte[] bytes);
 
-  /** Ends a stream that is complete. */
+  /** Ends a complete stream. */
   void endStream();
 
-  /** Cuts a stream that has begun, so that it does not look complete. */
+  /** Cuts a started stream, so that the caller does not take it for complete. */
   void abortStream();
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ClientCall.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ClientCall.java
@@ -8,11 +8,11 @@
 import org.baykeel.gateway.tenancy.Caller;
 
 /**
- * One request from its arrival to its final answer.
+ * One call, from its arrival to the end of its response.
  *
- * <p>Invariants: a refusal with a promise of not having run is given only while that is true; no
- * event reaches the caller before its tokens are granted; a kept turn ends only after the store has
- * it.
+ * <p>Invariants: a refusal that promises that the request did not run is sent only if that is true;
+ * no event reaches the caller before its tokens are granted; the stream of a turn that is to be
+ * stored ends only after the store has the turn.
  */
 public final class ClientCall implements AttemptSequence.Owner {
   private static final long BUSY_RETRY_MILLIS = 150;
@@ -68,7 +68,7 @@
     route = authorized.route();
     caller = authorized.caller();
     record.setTenant(caller.name());
-    call = AuthorizedCall.of(request, authorized, context.backendChooser());
+    call = AuthorizedCall.of(request, authorized, context.backendSelector());
     turnChain = new TurnChain(context, call);
     long remainingMillis = Math.max(0, (call.deadlineNanos() - eventLoop.nanoTime()) / 1_000_000);
     deadlineTimer = eventLoop.schedule(remainingMillis, this::onDeadline);
@@ -96,7 +96,10 @@
       return true;
     }
     if (route.retained() && budget.mustRefuseWithoutStore()) {
-      refuse(ErrorKind.STORE_UNAVAILABLE, STORE_RETRY_MILLIS, "kept turn without store");
+      refuse(
+          ErrorKind.STORE_UNAVAILABLE,
+          STORE_RETRY_MILLIS,
+          "turn cannot be stored: store unreachable");
       return false;
     }
     if (!attributes().budgeted()) {
@@ -113,7 +116,7 @@
       return false;
     }
     if (status == ReservationStatus.PENDING && budget.mustRefuseWithoutStore()) {
-      refuse(ErrorKind.STORE_UNAVAILABLE, STORE_RETRY_MILLIS, "no grant without store");
+      refuse(ErrorKind.STORE_UNAVAILABLE, STORE_RETRY_MILLIS, "no token grant: store unreachable");
       return false;
     }
     if (status == ReservationStatus.GRANTED) {
@@ -141,9 +144,12 @@
     if (lookup instanceof Lookup.Found found) {
       onReadyToSend(found.continuedBy(request.body()));
     } else if (lookup instanceof Lookup.Absent) {
-      refuse(ErrorKind.UNKNOWN_PROGRAM, 0, "no such turn");
+      refuse(ErrorKind.UNKNOWN_PROGRAM, 0, "previous turn does not exist");
     } else {
-      refuse(ErrorKind.STORE_UNAVAILABLE, STORE_RETRY_MILLIS, "history unavailable");
+      refuse(
+          ErrorKind.STORE_UNAVAILABLE,
+          STORE_RETRY_MILLIS,
+          "previous turns could not be read from the store");
     }
   }
 
@@ -162,7 +168,11 @@
     switch (budget.status()) {
       case GRANTED -> onGranted();
       case EXHAUSTED -> onNotGranted(ErrorKind.BUDGET_EXCEEDED, 0, "budget spent");
-      default -> onNotGranted(ErrorKind.STORE_UNAVAILABLE, STORE_RETRY_MILLIS, "grant unknown");
+      default ->
+          onNotGranted(
+              ErrorKind.STORE_UNAVAILABLE,
+              STORE_RETRY_MILLIS,
+              "no token grant: store did not answer in time");
     }
   }
 
@@ -183,12 +193,12 @@
     if (attempts.sends() == 0) {
       refuse(kind, retryMillis, detail);
     } else {
-      // The engine may have begun: nothing that promises the contrary may be said.
+      // The engine may have started: the response must not promise that nothing ran.
       refuse(ErrorKind.BACKEND_FAILED, 0, detail);
     }
   }
 
-  // What the attempts tell.
+  // Notifications from the attempts.
 
   @Override
   public void onStreamEvent(StreamEvent event) {
@@ -225,7 +235,7 @@
     budget.recordUse(events * call.tokensPerEvent());
   }
 
-  // Ends.
+  // The end of the call.
 
   private void finishStream() {
     if (!route.retained()) {
@@ -244,9 +254,9 @@
     if (stored) {
       endStream();
     } else if (relay.headSent()) {
-      abort("turn not kept");
+      abort("turn could not be stored");
     } else {
-      refuse(ErrorKind.BACKEND_FAILED, 0, "turn not kept");
+      refuse(ErrorKind.BACKEND_FAILED, 0, "turn could not be stored");
     }
   }
 
@@ -264,14 +274,17 @@
     if (relay.headSent()) {
       abort("deadline");
     } else if (attempts.runs() == 0) {
-      // No engine has it: what may run only once may be sent again after this.
-      refuse(ErrorKind.OVERLOADED, BUSY_RETRY_MILLIS, "deadline before it was sent");
+      // No engine has the request, so the caller may send it again even if it may run only once.
+      refuse(
+          ErrorKind.OVERLOADED,
+          BUSY_RETRY_MILLIS,
+          "deadline passed before an engine took the request");
     } else {
       refuse(ErrorKind.DEADLINE_PASSED, 0, "deadline");
     }
   }
 
-  /** The caller's connection is gone: nothing of this request is to go on. */
+  /** Ends the call without a response, since the caller has disconnected. */
   public void callerDisconnected() {
     if (finished) {
       return;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineAttempt.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineAttempt.java
@@ -10,47 +10,50 @@
 import org.baykeel.gateway.runtime.EventLoop;
 
 /**
- * One send of a request to one engine: reads the answer, tells its owner what it amounts to, and
- * notes what it shows about the engine, unless it was not read for a while. After {@link #close}
- * the owner hears nothing more.
+ * One send of a request to one engine. Reads the response, reports the outcome to its owner, and
+ * records the times that it observes at the engine, unless reading was paused meanwhile. The owner
+ * is not notified any more after {@link #close}.
  */
 final class EngineAttempt implements EngineTransport.Listener, ResponseSource {
   private static final int MISDIRECTED = 421;
 
   /** Why an engine did not run a request. */
   enum NotRun {
-    /** It has no place for it. */
+    /** The engine has no free slot. */
     FULL,
-    /** It is another engine than the one that was meant. */
+    /** The request reached another engine than the one it was meant for. */
     MISDIRECTED,
-    /** Nothing reached it. */
+    /** Nothing was sent. */
     NOT_SENT
   }
 
-  /** Hears what became of the attempt; exactly one of the last four ends it. */
+  /**
+   * Receives the progress and the outcome of the attempt; exactly one of the last four methods ends
+   * it.
+   */
   interface Owner {
-    /** Requests of its service that wait for room at this process. */
+    /** The number of requests with the same requirement that wait at this node. */
     int waitingForCapacity();
 
-    /** Something arrived. */
+    /** Data arrived from the engine. */
     void onAttemptProgress();
 
-    /** A signed stream begins. */
+    /** A signed stream starts. */
     void onStreamHead(ResponseHead head);
 
-    /** A whole event. */
+    /** A complete event. */
     void onStreamEvent(StreamEvent event);
 
-    /** The stream is whole. */
+    /** The stream is complete. */
     void onStreamComplete();
 
     /** The engine did not run the request. */
     void onNotRun(NotRun reason, String outcome);
 
-    /** The engine may have run the request, and there is no whole answer. */
+    /** The engine may have run the request, but there is no complete response. */
     void onBroken(String detail);
 
-    /** A whole answer that is not a stream. */
+    /** A complete response that is not a stream. */
     void onWholeResponse(ResponseHead head, byte[] body);
   }
 
@@ -155,7 +158,7 @@
       onNotExecuted();
     } else if (head.success() && !traits.signed()) {
       exchange.cancel();
-      owner.onBroken("success without signature");
+      owner.onBroken("success response without signature");
     } else if (head.success() && traits.eventStream()) {
       owner.onStreamHead(head);
     } else {
@@ -242,7 +245,7 @@
       }
       owner.onWholeResponse(head, body.toByteArray());
     } else if (parser.midEvent()) {
-      owner.onBroken("ended within an event");
+      owner.onBroken("stream ended within an event");
     } else {
       engine.succeeded();
       engine.performance().observeEvents(events);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineRequest.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineRequest.java
@@ -4,14 +4,14 @@
 import org.baykeel.gateway.urgency.Urgency;
 
 /**
- * A request as one engine is to get it.
+ * A request in the form in which an engine gets it.
  *
  * @param source the caller's request
- * @param body the body for the engine, which for a continued turn holds the whole chain
- * @param remainingMillis how long the caller still waits
+ * @param body the body for the engine; for a continued turn it holds the whole chain
+ * @param remainingMillis the time until the caller's deadline, in milliseconds
  * @param caller on whose behalf it runs
  * @param lastEventId the last event that the caller has; {@link CallAttributes#ABSENT} if none
- * @param rank its place in the engine's queue; {@link Urgency#UNRANKED} if by arrival
+ * @param rank its rank in the engine's queue; {@link Urgency#UNRANKED} if in order of arrival
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record EngineRequest(
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineTransport.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineTransport.java
@@ -2,7 +2,7 @@
 
 import org.baykeel.gateway.directory.Engine;
 
-/** Sends requests to engines. All calls and answers happen on the event loop. */
+/** Sends requests to engines. All calls and callbacks happen on the event loop. */
 public interface EngineTransport {
 
   /**
@@ -14,17 +14,20 @@
 
   /** A request that was sent. */
   interface Exchange {
-    /** Gives it up: its connection is closed and the listener hears nothing more. */
+    /** Cancels the request: its connection is closed and the listener is not called any more. */
     void cancel();
 
-    /** Reads no more of the answer; bytes that were read before may still come. */
+    /** Pauses reading the response; bytes that were read before may still arrive. */
     void pauseReading();
 
-    /** Reads the answer on. */
+    /** Resumes reading the response. */
     void resumeReading();
   }
 
-  /** Hears of one answer; after a head come its bytes, then exactly one of the ends. */
+  /**
+   * Receives one response: its head, the bytes of its body, then exactly one of the two ends. A
+   * failure may come without a head.
+   */
   interface Listener {
     /** Status and header fields. */
     void onHead(ResponseHead head);
@@ -32,14 +35,14 @@
     /** Bytes of the body. */
     void onBody(byte[] bytes);
 
-    /** The answer is whole. */
+    /** The response is complete. */
     void onComplete();
 
-    /** The answer will not be whole. */
+    /** The response will not be complete. */
     void onFailure(Failure failure, String detail);
   }
 
-  /** Why there is no whole answer. */
+  /** Why there is no complete response. */
   enum Failure {
     /** Not one byte of the request left this process. */
     NOT_SENT,
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EventStreamParser.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EventStreamParser.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import java.util.function.Consumer;
 
-/** Splits the bytes of an event stream into whole events; a part of an event is held back. */
+/** Splits the bytes of an event stream into complete events; an incomplete event is buffered. */
 public final class EventStreamParser {
   private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
   private static final byte[] DATA_FIELD = "data:".getBytes(StandardCharsets.US_ASCII);
@@ -24,7 +24,7 @@
     pending = start == 0 ? all : Arrays.copyOfRange(all, start, all.length);
   }
 
-  /** Whether a part of an event is held back. */
+  /** Whether an incomplete event is buffered. */
   public boolean midEvent() {
     return pending.length > 0;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GatewayContext.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GatewayContext.java
@@ -14,21 +14,21 @@
 import org.baykeel.gateway.urgency.Urgency;
 
 /**
- * What every call works with.
+ * The components that all calls of a node share.
  *
  * @param eventLoop the clock and the timers
  * @param state the configuration in force and the engines
  * @param authenticator finds the tenant of a key
- * @param limiter keeps the limits of tenants
- * @param selector picks engines
- * @param backendChooser splits routes among services
- * @param admission decides whether new programs may begin
+ * @param limiter enforces the limits of tenants
+ * @param selector selects engines
+ * @param backendSelector splits routes among services
+ * @param admission decides whether programs may start
  * @param budgets token budgets of programs
- * @param history kept turns
+ * @param history stored turns
  * @param urgency ranks requests for engines
- * @param transport the way to engines
- * @param storeHealth this process's path to the store
- * @param log takes one line for each decision
+ * @param transport sends requests to engines
+ * @param storeHealth whether this node reaches the store
+ * @param log receives one line for each decision
  * @param metrics counts calls
  */
 public record GatewayContext(
@@ -37,7 +37,7 @@
     KeyAuthenticator authenticator,
     RequestLimiter limiter,
     EngineSelector selector,
-    BackendSelector backendChooser,
+    BackendSelector backendSelector,
     ProgramAdmission admission,
     ProgramBudgets budgets,
     TurnHistory history,
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GatewayState.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GatewayState.java
@@ -16,13 +16,13 @@
 import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
- * What a process believes: the newest configuration, the engines, whether it stops. The version of
- * the configuration never goes back within one life of the process.
+ * The state of a node: the newest configuration, the engines, and whether the node is stopping. The
+ * version of the configuration never decreases while the process runs.
  */
 public final class GatewayState {
   /**
-   * Engines write their entries anew within about two seconds of the store's return; an entry that
-   * is missing after that is that of an engine which is gone. A fifth of a second is slack.
+   * Engines write their entries again within about 2 s of the store's return; an entry that is
+   * missing after that belongs to an engine that is gone. The remaining 0.2 s are a margin.
    */
   private static final long LAPSE_WINDOW_NANOS = 2_200_000_000L;
 
@@ -85,15 +85,15 @@
         newConfiguration.routeCount());
   }
 
-  /** Adopts the whole list of engines. */
+  /** Replaces the list of engines. */
   public void replaceEngines(List<EngineRecord> records) {
     replaceEngines(records, List.of());
   }
 
   /**
-   * Adopts the whole list of engines.
+   * Replaces the list of engines.
    *
-   * @param faults the entries that name no engine to use
+   * @param faults the entries that do not describe a usable engine
    */
   public void replaceEngines(List<EngineRecord> records, List<EngineEntryFault> faults) {
     enginesKnown = true;
@@ -104,13 +104,16 @@
     log.write(GatewayEvent.ENGINES_CHANGED, "listed", records.size(), "known", engines.size());
   }
 
-  /** An engine's entry names none to use: it gets no new work until its entry is good again. */
+  /**
+   * Withdraws an engine whose entry is unusable: it gets no new work until the entry is usable
+   * again.
+   */
   public void withdrawEngine(EngineEntryFault fault) {
     engines.withdraw(fault.engine());
     recordFault(fault);
   }
 
-  /** Entries that name no engine to use, as far as they are told apart. */
+  /** The number of unusable entries, counted by engine. */
   public long unusableEntries() {
     return entryFaults.size();
   }
@@ -144,7 +147,7 @@
         engines.size());
   }
 
-  /** An engine's entry is gone. */
+  /** Removes an engine whose entry is gone. */
   public void removeEngine(String id) {
     entryFaults.clear(new EngineId(id));
     engines.remove(id, lapseWindowEndNanos(), eventLoop.nanoTime());
@@ -160,7 +163,10 @@
         engines.size());
   }
 
-  /** Whether entries of engines may have lapsed in an outage that ended shortly before. */
+  /**
+   * Whether a call to the store failed within the last 2.2 s, so that entries of engines may have
+   * expired in an outage.
+   */
   public boolean storeFailedRecently() {
     return lapseWindowEndNanos() - eventLoop.nanoTime() > 0;
   }
@@ -178,22 +184,22 @@
     return storeHealth.nanosSinceAnswer(eventLoop.nanoTime()) < STORE_LOST_NANOS;
   }
 
-  /** The engines of a service, draining ones among them. */
+  /** The engines of a service, including draining ones. */
   public List<Engine> engines(String service) {
     return engines.ofService(service);
   }
 
-  /** Begins to stop: not ready from now on. */
+  /** Starts to stop: the node is not ready from now on. */
   public void stop() {
     stopping = true;
   }
 
-  /** Whether the process is stopping. */
+  /** Whether the node is stopping. */
   public boolean stopping() {
     return stopping;
   }
 
-  /** Whether new callers should come here. */
+  /** Whether the node should get new callers. */
   public boolean ready() {
     return configuration != null && enginesKnown && !stopping && configurationRecent();
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GracefulStop.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GracefulStop.java
@@ -5,22 +5,26 @@
 import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
- * A planned stop: not ready at once, serving on until the entry has noticed, then no new
- * connections, and the end once no request is under way or the grace period is nearly over.
+ * A planned stop: the node is not ready at once, but serves on until the load balancer has noticed;
+ * then it accepts no new connections, and ends once no request is in progress or the grace period
+ * is nearly over.
  */
 public final class GracefulStop {
-  /** Two missed questions a second apart, and some slack. */
+  /**
+   * The load balancer notices after two failed readiness probes, one second apart; the rest is a
+   * margin.
+   */
   private static final long NOT_READY_NOTICE_MILLIS = 2_600;
 
   private static final long POLL_MILLIS = 50;
   private static final long END_MARGIN_MILLIS = 500;
 
-  /** The callers' connections of a process. */
+  /** The connections of a node's callers. */
   public interface CallerConnections {
-    /** How many requests are under way. */
+    /** The number of requests in progress. */
     int activeCalls();
 
-    /** Accepts no more connections and closes those that rest between two requests. */
+    /** Accepts no more connections and closes those that are idle between two requests. */
     void closeIdle();
   }
 
@@ -33,9 +37,9 @@
   private long startedNanos;
 
   /**
-   * Creates a stop that has not begun.
+   * Creates a stop that has not started.
    *
-   * @param graceMillis the time from the signal after which the process is killed
+   * @param graceMillis the time from the signal until the process is killed, in milliseconds
    * @param end ends the process
    */
   public GracefulStop(
@@ -53,7 +57,7 @@
     this.end = end;
   }
 
-  /** Begins; does nothing if a stop is under way. */
+  /** Starts the stop; does nothing if one is in progress. */
   public void begin() {
     if (state.stopping()) {
       return;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ProgramStart.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ProgramStart.java
@@ -12,9 +12,11 @@
 import org.baykeel.gateway.directory.Engine;
 
 /**
- * Whether a turn is the first of its program, and if so whether the program may begin; also tells
- * what the turns of programs take. A program that has begun anywhere is never refused here: while
- * it matters and this node does not know, the store is asked.
+ * Determines whether a turn starts its program, and if so whether the program may start; also
+ * reports the turns of programs to {@link ProgramAdmission}. A program with a token budget that has
+ * started at any node is never refused here: if that matters and this node has no record of it, it
+ * reads the store. A program without a budget has no row in the store; only this node's own records
+ * show that it has started.
  */
 final class ProgramStart {
   private final GatewayContext context;
@@ -30,7 +32,7 @@
   private boolean turnStarted;
   private boolean closed;
 
-  /** Creates an opening on which nothing is decided. */
+  /** Creates a start on which nothing is decided. */
   ProgramStart(GatewayContext context, AuthorizedCall call) {
     this.context = context;
     this.call = call;
@@ -43,10 +45,10 @@
   }
 
   /**
-   * Decides whether the call may go on.
+   * Decides whether the call may proceed.
    *
-   * @param admitted runs if it may, unless the call is over by then
-   * @param refused takes what the caller is told if it may not
+   * @param admitted runs if it may, unless the call has ended by then
+   * @param refused receives the refusal if it may not
    */
   void decide(Runnable admitted, Consumer<Refusal> refused) {
     if (route.kind() != RouteKind.STREAMING) {
@@ -72,7 +74,7 @@
     }
   }
 
-  /** Whether the program may be a new one, as far as is known here. */
+  /** Whether the program may be a new one, by this node's records. */
   private boolean mayStart() {
     if (!attributes.firstConversation()
         || attributes.previousTurn() != null
@@ -82,7 +84,10 @@
     return attributes.budgeted() ? !context.budgets().isKnown(program) : !promptSentBefore();
   }
 
-  /** Whether an engine was sent a prompt with the same last part, which grows with the program. */
+  /**
+   * Whether this node has sent an engine a prompt with the same last part, which grows with the
+   * program.
+   */
   private boolean promptSentBefore() {
     for (Engine engine : context.state().engines(service)) {
       if (engine.cachedPrefixes().containsOwnPart(attributes.prompt())) {
@@ -128,18 +133,21 @@
     admitted.run();
   }
 
-  /** The program turned out to be a new one. */
+  /** Records that the program is a new one. */
   void recordStart() {
     context.metrics().admissionDecided("admitted");
     admission.programStarted(route.name(), attributes.finishMillis(), now());
   }
 
-  /** Whether the program is known to have begun, though this process serves its first turn. */
+  /**
+   * Whether the program is known to have started at another node, though this is its first turn
+   * here.
+   */
   boolean startedElsewhere() {
     return startedElsewhere;
   }
 
-  /** The call is over. */
+  /** Ends the call. */
   void close() {
     closed = true;
     if (turnStarted) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/Refusal.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/Refusal.java
@@ -3,15 +3,16 @@
 import org.baykeel.core.error.ErrorKind;
 
 /**
- * A final answer of baykeel's own.
+ * A final response that the node itself generates.
  *
- * @param kind decides the status
- * @param retryAfterMillis when the caller should come back; 0 if the answer does not say
- * @param detail one phrase for the log
+ * @param kind determines the status
+ * @param retryAfterMillis when the caller should retry, in milliseconds; 0 if the response does not
+ *     say
+ * @param detail a short phrase for the log
  */
 public record Refusal(ErrorKind kind, long retryAfterMillis, String detail) {
 
-  /** A refusal without a time to come back. */
+  /** A refusal without a retry delay. */
   public static Refusal of(ErrorKind kind, String detail) {
     return new Refusal(kind, 0, detail);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ResponseHead.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ResponseHead.java
@@ -3,15 +3,15 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * Status and header fields of an engine's answer.
+ * Status and header fields of an engine's response.
  *
  * @param status the HTTP status
- * @param headers fields that are passed on; none that belong to one connection
- * @param traits what the engine's own fields mean
+ * @param headers the fields to pass on, without those of a single connection
+ * @param traits the meaning of the engine's own fields
  */
 public record ResponseHead(int status, HttpHeaders headers, ResponseTraits traits) {
 
-  /** Whether the status tells of success. */
+  /** Whether the status is 2xx. */
   public boolean success() {
     return status >= 200 && status < 300;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ResponseRelay.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ResponseRelay.java
@@ -6,9 +6,9 @@
 import org.baykeel.gateway.buffering.ResponseSource;
 
 /**
- * Passes a stream on to the caller, across the engines that produce it. Events are held back until
- * their tokens are granted; an event that the caller already has is dropped. While much is held for
- * the caller, the engine is not read.
+ * Passes a stream on to the caller, also when several engines produce it one after the other.
+ * Events are held until their tokens are granted; an event that the caller already has is dropped.
+ * While too many bytes are held for the caller, the engine is not read.
  */
 final class ResponseRelay implements ResponseSource {
   private final CallResponder responder;
@@ -25,7 +25,7 @@
    * Creates a relay.
    *
    * @param lastEventId the last event that the caller has; {@link CallAttributes#ABSENT} if none
-   * @param collectOutput whether the data of the events is to be kept
+   * @param collectOutput whether to collect the data of the events for storage
    */
   ResponseRelay(CallResponder responder, long lastEventId, boolean collectOutput) {
     this.responder = responder;
@@ -33,7 +33,7 @@
     this.output = collectOutput ? new ByteArrayOutputStream() : null;
   }
 
-  /** Sets which engine brings the answer from now on. */
+  /** Sets the source of the response from now on. */
   void readFrom(ResponseSource newSource) {
     source = newSource;
     responder.flow().setSource(this);
@@ -49,14 +49,17 @@
     source.resume();
   }
 
-  /** Takes the head of an engine's answer; that of the first engine is the caller's. */
+  /**
+   * Takes the head of an engine's response; the caller gets the latest one that arrived before the
+   * first event was passed on.
+   */
   void setHead(ResponseHead newHead) {
     if (!headSent) {
       head = newHead;
     }
   }
 
-  /** Lets events through from now on. Returns how many that were held went to the caller. */
+  /** Passes held events and all later ones on. Returns how many held events went to the caller. */
   int passOn() {
     passing = true;
     int before = eventsSent;
@@ -112,12 +115,12 @@
     responder.abortStream();
   }
 
-  /** Whether the caller has the head. */
+  /** Whether the caller has got the head. */
   boolean headSent() {
     return headSent;
   }
 
-  /** Whether events wait for their grant. */
+  /** Whether events are held until their tokens are granted. */
   boolean hasHeldEvents() {
     return !held.isEmpty();
   }
@@ -132,7 +135,7 @@
   }
 
   /**
-   * Ends the relay; events that wait for their grant are dropped.
+   * Ends the relay; events still held are dropped.
    *
    * @return how many events went to the caller
    */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/SilenceWatch.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/SilenceWatch.java
@@ -4,8 +4,8 @@
 import org.baykeel.gateway.runtime.EventLoop;
 
 /**
- * Notices when the engine of a request that may be repeated has been silent for too long. Runs from
- * the first send to the end of the request, across engines.
+ * Detects that the engine of a repeatable request has been silent for too long. Runs from the first
+ * send to the end of the request, across engines.
  */
 final class SilenceWatch {
   private final EventLoop eventLoop;
@@ -17,9 +17,9 @@
   private boolean paused;
 
   /**
-   * Creates a watch that has not begun.
+   * Creates a watch that has not started.
    *
-   * @param route tells how long an engine may be silent
+   * @param route determines how long an engine may be silent
    * @param onSilence runs each time the engine has been silent for that long
    */
   SilenceWatch(EventLoop eventLoop, Route route, Runnable onSilence) {
@@ -28,7 +28,7 @@
     this.onSilence = onSilence;
   }
 
-  /** The request was sent to an engine; begins the watch if it has not begun. */
+  /** Records that the request was sent to an engine; starts the watch if it has not started. */
   void sent() {
     lastReceivedNanos = eventLoop.nanoTime();
     if (route.repeatable() && timer == null) {
@@ -36,23 +36,23 @@
     }
   }
 
-  /** Something arrived from the engine. */
+  /** Records that data arrived from the engine. */
   void dataReceived() {
     lastReceivedNanos = eventLoop.nanoTime();
   }
 
-  /** The engine is not listened to from now on. */
+  /** Suspends the watch while the engine is not read. */
   void pause() {
     paused = true;
   }
 
-  /** The engine is listened to again. */
+  /** Resumes the watch: the engine is read again. */
   void resume() {
     paused = false;
     dataReceived();
   }
 
-  /** An event arrived from the engine. */
+  /** Records that an event arrived from the engine. */
   void eventReceived() {
     if (firstEventNanos == 0) {
       firstEventNanos = eventLoop.nanoTime();
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnBudget.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnBudget.java
@@ -5,8 +5,8 @@
 import org.baykeel.gateway.budget.ReservationStatus;
 
 /**
- * Whether a turn may run at all, and the tokens that it may hand out. A turn without a budget has
- * as many tokens as it needs.
+ * Whether a turn may run, and the tokens that it may send to the caller. A turn without a budget
+ * has no limit of tokens.
  */
 final class TurnBudget {
   private final GatewayContext context;
@@ -16,7 +16,7 @@
   private Reservation reservation;
   private boolean programKnown;
 
-  /** Creates a budget of which nothing is reserved. */
+  /** Creates a budget without a reservation. */
   TurnBudget(GatewayContext context, AuthorizedCall call) {
     this.context = context;
     this.call = call;
@@ -25,18 +25,20 @@
   }
 
   /**
-   * Decides whether the call may go on: one that begins a program may be refused for want of room.
+   * Decides whether the call may proceed; one that starts a program may be refused for lack of
+   * capacity.
    *
-   * @param admitted runs if it may, unless the call is over by then
-   * @param refused takes what the caller is told if it may not
+   * @param admitted runs if it may, unless the call has ended by then
+   * @param refused receives the refusal if it may not
    */
   void admit(Runnable admitted, Consumer<Refusal> refused) {
     programStart.decide(admitted, refused);
   }
 
   /**
-   * While the store is away, a turn runs and its events wait for the store; that is worth an
-   * engine's time only if engines have time to spare.
+   * Whether the call must be refused while the store is unreachable. A turn could run while its
+   * events wait for the store, but that use of an engine is justified only if engines have spare
+   * capacity.
    */
   boolean mustRefuseWithoutStore() {
     return !context.storeHealth().reachable()
@@ -47,7 +49,7 @@
   }
 
   /**
-   * Reserves the most that the turn may generate.
+   * Reserves the most tokens that the turn may generate.
    *
    * @param giveUpNanos when the store counts as unavailable
    * @param onDecided runs later if the decision is pending now
@@ -75,16 +77,16 @@
     onDecided.run();
   }
 
-  /** The decision on its tokens. */
+  /** The decision on the turn's tokens. */
   ReservationStatus status() {
     return reservation == null ? ReservationStatus.GRANTED : reservation.status();
   }
 
   /**
-   * Whether the turn may be sent now. While its tokens are undecided it may only if it will most
-   * likely get them. The first line of a program that is new here is most likely new altogether,
-   * and surely affordable then. Its sub-agents are not: a program that loops starts one after the
-   * other.
+   * Whether the turn may be sent now. While the decision on its tokens is pending, it may only be
+   * sent if they will most likely be granted. A turn in the first conversation of a program that
+   * this node has no record of most likely starts the program, whose budget then suffices. A turn
+   * of a sub-agent does not: a program in a loop starts one sub-agent after the other.
    */
   boolean maySend() {
     boolean likelyNew = !programKnown && attributes.firstConversation();
@@ -92,14 +94,14 @@
     return status() != ReservationStatus.PENDING || likelyGranted;
   }
 
-  /** Notes tokens that were handed to the caller. */
+  /** Records tokens that were sent to the caller. */
   void recordUse(int tokens) {
     if (reservation != null) {
       reservation.use(tokens);
     }
   }
 
-  /** The turn is over. */
+  /** Ends the turn. */
   void close() {
     programStart.close();
     if (reservation != null) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnChain.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnChain.java
@@ -7,7 +7,7 @@
 import org.baykeel.gateway.history.TurnHistory.Lookup;
 import org.baykeel.gateway.program.ProgramId;
 
-/** The turns that a call continues, and its own turn, as the history keeps them. */
+/** The stored turns that a call continues, and the storing of its own turn. */
 final class TurnChain {
   private static final long LOOKUP_TIMEOUT_MILLIS = 1_000;
 
@@ -20,7 +20,7 @@
     this.call = call;
   }
 
-  /** Finds the turn that the call continues, and all that this one continues. */
+  /** Finds the turn that the call continues and all turns before that one. */
   void findPrevious(Consumer<Lookup> callback) {
     CallAttributes attributes = call.attributes();
     long giveUpNanos = context.eventLoop().nanoTime() + LOOKUP_TIMEOUT_MILLIS * 1_000_000;
@@ -38,9 +38,9 @@
   }
 
   /**
-   * Keeps the call's own turn.
+   * Stores the call's own turn.
    *
-   * @param callback hears whether the store has it; not later than the call's deadline
+   * @param callback receives whether the store has the turn; attempts end at the call's deadline
    */
   void store(byte[] output, Consumer<Boolean> callback) {
     String turnId = call.caller().scoped(call.attributes().requestId());
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/WaitQueue.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/WaitQueue.java
@@ -9,10 +9,10 @@
 import org.baykeel.gateway.runtime.EventLoop;
 
 /**
- * The requests of one node that wait until an engine has a place, by what they requirement of an
- * engine. When a place is expected the most urgent of them is woken: the one whose program has
- * least time left until its aim or until its caller leaves. Those that came too late for their aim,
- * or have none, come after all others, by their deadlines.
+ * The requests of one node that wait until an engine has a free slot, grouped by their
+ * requirements. When a slot is expected, the most urgent request is sent: the one with the least
+ * time until its program is due or its caller's deadline. Requests that arrived too late for their
+ * finish target, or have none, come after all others, in order of their deadlines.
  */
 final class WaitQueue {
   private static final Comparator<Ticket> MOST_URGENT_FIRST =
@@ -21,7 +21,10 @@
           .thenComparingLong(Ticket::dueNanos)
           .thenComparingLong(Ticket::order);
 
-  /** Engines may come, or tell of room, without a word to this queue. */
+  /**
+   * The queue is not notified when engines are added or report free slots, so it checks at least
+   * this often.
+   */
   private static final long MAX_CHECK_INTERVAL_MILLIS = 100;
 
   private final EventLoop eventLoop;
@@ -29,27 +32,29 @@
   private long order;
 
   /**
-   * What engines must offer; requests that requirement the same wait in one line.
+   * The requirement of a request; requests with equal requirements wait in one group.
    *
-   * @param service the service that is to run them
-   * @param residency where they may run
-   * @param repeatable whether they may go to engines that lost requests lately
+   * @param service the service that runs them
+   * @param residency the regions in which they may run
+   * @param repeatable whether they may go to engines that have recently lost requests
    */
   record Requirement(String service, Residency residency, boolean repeatable) {}
 
   /** A request that waits. */
   interface Waiter {
-    /** When an engine is expected to have a place; {@link Long#MAX_VALUE} if none takes work. */
+    /**
+     * When an engine is expected to have a free slot; {@link Long#MAX_VALUE} if none takes work.
+     */
     long nextCapacityNanos();
 
-    /** A place is expected now, or no engine takes work any more; the wait is over. */
+    /** Ends the wait: a slot is expected now, or no engine takes work any more. */
     void onCapacityExpected();
 
-    /** The wait is over since the time that it may take is. */
+    /** Ends the wait: its time limit has passed. */
     void onWaitTooLong();
   }
 
-  /** The place of a request in its line. */
+  /** The position of a request in its group. */
   final class Ticket {
     private final Requirement requirement;
     private final boolean canMeetTarget;
@@ -84,7 +89,7 @@
       return order;
     }
 
-    /** Ends the wait; the waiter hears nothing more. May be repeated. */
+    /** Ends the wait without notifying the waiter; idempotent. */
     void leave() {
       Group group = groups.get(requirement);
       if (group != null) {
@@ -93,7 +98,7 @@
     }
   }
 
-  /** Requests that requirement the same, and one timer for all of them. */
+  /** The requests with one requirement, and one timer for all of them. */
   private final class Group {
     private final Requirement requirement;
     private final TreeSet<Ticket> tickets = new TreeSet<>(MOST_URGENT_FIRST);
@@ -118,7 +123,7 @@
       }
     }
 
-    /** Sets the timer to the next place or to the end of the next wait, whichever is first. */
+    /** Sets the timer to the next expected slot or the end of the next wait, whichever is first. */
     private void arm() {
       cancelTimer();
       if (tickets.isEmpty()) {
@@ -167,18 +172,20 @@
     this.eventLoop = eventLoop;
   }
 
-  /** Whether requests with a requirement wait, before which a new one must not go. */
+  /** Whether requests with a requirement wait; a new one must not be sent before them. */
   boolean hasWaiting(Requirement requirement) {
     return groups.containsKey(requirement);
   }
 
-  /** How many requests with a requirement wait. */
+  /** The number of waiting requests with a requirement. */
   int waiting(Requirement requirement) {
     Group group = groups.get(requirement);
     return group == null ? 0 : group.tickets.size();
   }
 
-  /** A request with a requirement has left its engine: a place may be expected earlier now. */
+  /**
+   * Checks again when a slot is expected, since a request with a requirement has left its engine.
+   */
   void onSlotFree(Requirement requirement) {
     Group group = groups.get(requirement);
     if (group != null) {
@@ -187,12 +194,12 @@
   }
 
   /**
-   * Begins a wait.
+   * Adds a request.
    *
-   * @param canMeetTarget whether the request came early enough to end before its program is to be
-   *     over
-   * @param dueNanos that time or when its caller no longer waits, whichever is first
-   * @param giveUpNanos when the wait is no longer worth its while
+   * @param canMeetTarget whether the request arrived early enough to finish before its program is
+   *     due
+   * @param dueNanos the due time of its program or the caller's deadline, whichever is first
+   * @param giveUpNanos when the wait ends without a slot
    */
   Ticket add(
       Requirement requirement,
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/SingleEngineNode.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/SingleEngineNode.java
@@ -32,7 +32,7 @@
 import org.baykeel.gateway.testing.TestingTransport;
 import org.baykeel.gateway.urgency.Urgency;
 
-/** A node in virtual time that knows one route to one service of one engine. */
+/** A node in virtual time with one route to one service of one engine. */
 final class SingleEngineNode {
   private static final EngineId ID = new EngineId("e");
   private static final int TOKENS_PER_EVENT = 25;
@@ -43,7 +43,7 @@
   private final EngineDirectory engines = new EngineDirectory(1);
   private final CallCoordinator coordinator;
 
-  /** A node whose route has three seconds for a request and allows three runs. */
+  /** Creates a node whose route gives a request three seconds and allows three runs. */
   SingleEngineNode(RouteKind kind, boolean resumable) {
     StoreHealth storeHealth = new StoreHealth();
     storeHealth.answered(eventLoop.nanoTime());
@@ -111,19 +111,19 @@
     return engines.find(ID);
   }
 
-  /** The engine tells when it started. */
+  /** The engine reports the time at which it started. */
   void startEngine(long millis) {
     engines.put(
         new EngineRecord(ID.value(), "s", "10.0.0.1", 80, "z", 8, false, 0, millis),
         eventLoop.nanoTime());
   }
 
-  /** A request comes that belongs to no program. */
+  /** Makes a request that belongs to no program. */
   void call(CallResponder responder) {
     call(responder, null, CallAttributes.ABSENT);
   }
 
-  /** A request of a program comes. */
+  /** Makes a request of a program. */
   void call(CallResponder responder, String program, long tokenBudget) {
     CallAttributes attributes =
         new CallAttributes(
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestCallAcrossEngineRestart.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestCallAcrossEngineRestart.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A request is under way at the only engine of its service when that starts again. */
+/**
+ * A request is in progress at the only engine of its service when that engine restarts. The request
+ * must not be sent to the new incarnation, and its outcome must not count for it.
+ */
 class TestCallAcrossEngineRestart {
   private final SingleEngineNode node = new SingleEngineNode(RouteKind.UNSAFE, false);
   private final TestingResponder responder = new TestingResponder();
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestCallOfSlowCaller.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestCallOfSlowCaller.java
@@ -12,7 +12,7 @@
 import org.baykeel.gateway.testing.TestingTransport.Sent;
 import org.junit.jupiter.api.Test;
 
-/** A stream whose caller reads more slowly than its engine answers. */
+/** A stream whose caller reads more slowly than its engine responds. */
 class TestCallOfSlowCaller {
   private static final long MAX_HELD_BYTES = 100;
 
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestClientCall.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestClientCall.java
@@ -235,7 +235,8 @@
     assertTrue(waited >= TIMEOUT_MILLIS - 100 && waited < TIMEOUT_MILLIS - 20, waited + " ms");
   }
 
-  @ParameterizedTest(name = "{0}, {1} ms to the aim: at least {2} ms, less than {3} ms")
+  @ParameterizedTest(
+      name = "{0}, {1} ms to the finish target: waits at least {2} ms, less than {3} ms")
   @CsvSource({
     "/safe/, 1000, 900, 980",
     "/safe/, -1, 2900, 2980",
@@ -279,9 +280,9 @@
     }
     int sent = transport.count();
     call("/once/", "t", null, "p", 10_000);
-    assertEquals(sent, transport.count(), "no engine has room");
+    assertEquals(sent, transport.count(), "no engine has a free slot");
     eventLoop.advance(500);
-    assertEquals(sent + 2, transport.count(), "each of the two is sent when there is room");
+    assertEquals(sent + 2, transport.count(), "each of the two is sent once there is capacity");
   }
 
   @Test
@@ -585,7 +586,7 @@
 
   @Test
   void aTurnOfAKnownProgramIsSentOnlyOnceItsGrantIsKnown() {
-    // The first grant, a third of the budget, is for four turns.
+    // The first grant, a third of the budget, covers four turns.
     for (int i = 1; i <= 5; i++) {
       call("/once/", "t" + i, null, "p", 6_000);
       int sentAtOnce = transport.count();
@@ -639,7 +640,7 @@
     assertEquals(0, transport.count());
   }
 
-  @ParameterizedTest(name = "its entry says that it drains: {0}")
+  @ParameterizedTest(name = "the entry says that the engine drains: {0}")
   @ValueSource(booleans = {true, false})
   void aDrainingOrRemovedEngineFinishesItsRequestsAndGetsNoNewOnes(boolean draining) {
     call("/once/");
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestGatewayState.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestGatewayState.java
@@ -36,7 +36,7 @@
     return engines.ofService("s").size();
   }
 
-  /** The store comes back, and the entry of a live engine is missing at first. */
+  /** The store returns, and the entry of a running engine is missing at first. */
   private void endOutageWithoutEntry() {
     state.putEngine(ENGINE);
     storeHealth.failed(eventLoop.nanoTime());
@@ -72,7 +72,7 @@
     assertEquals(0, usableEngines());
   }
 
-  @ParameterizedTest(name = "{0} ms after the store went away")
+  @ParameterizedTest(name = "{0} ms after the store became unreachable")
   @ValueSource(longs = {0, 500, 2_000, 60_000})
   void anEngineStaysUsableIfItsEntryGoesDuringAnOutage(long afterMillis) {
     state.putEngine(ENGINE);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestGracefulStop.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestGracefulStop.java
@@ -18,7 +18,7 @@
   private final TestingConnections callers = new TestingConnections();
   private int ends;
 
-  /** Connections whose number of requests the test sets. */
+  /** Connections whose number of active calls the test sets. */
   private static final class TestingConnections implements GracefulStop.CallerConnections {
     private int active;
     private boolean accepting = true;
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestToolCallsUnderLoad.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestToolCallsUnderLoad.java
@@ -40,9 +40,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tool calls that may run only once, from twenty nodes, at engines with few places: ordinary demand
- * for half of the room, three times that for eight seconds, and a third of the engines gone in the
- * middle of it for two.
+ * Tool calls that may run only once, from twenty nodes, at engines with few slots. Ordinary demand
+ * is 35 % of the capacity; it rises to three times that for eight seconds, and in the middle of
+ * these a third of the engines drain for two seconds. Such a call is lost if a node refuses it
+ * although a slot becomes free in time, or sends it to full engines again and again until its
+ * deadline.
  */
 class TestToolCallsUnderLoad {
   private static final int NODES = 20;
@@ -64,7 +66,7 @@
   private final List<CallCoordinator> nodes = new ArrayList<>();
   private final Random random = new Random(5);
 
-  /** Engines that turn away what they have no place for, and count that. */
+  /** Engines that refuse requests for which they have no slot, and count these refusals. */
   private final class ToolEngines implements EngineTransport {
     private final Map<String, Integer> requests = new HashMap<>();
     private final Map<String, Long> freeAtMillis = new HashMap<>();
