--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/TestAdmissionUnderLoad.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/TestAdmissionUnderLoad.java
@@ -90,8 +90,8 @@
 
   private String figures(ServiceSimulation service) {
     return String.format(
-        "part of the best rate %.2f, in time of those started in the burst %.2f and after recovery %.3f,"
-            + " refused before the burst %.4f and after recovery %.4f",
+        "part of the best rate %.2f, in time of those started in the burst %.2f and after"
+            + " recovery %.3f, refused before the burst %.4f and after recovery %.4f",
         partOfBest(service),
         inTime(service, burst, end),
         inTime(service, end + RECOVERY_MILLIS, Long.MAX_VALUE),
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestToolCallsUnderLoad.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestToolCallsUnderLoad.java
@@ -115,8 +115,8 @@
     }
   }
 
-  private static EngineRecord engine(int number, boolean setDraining) {
-    return new EngineRecord("e" + number, "s", "10.0.0.1", 80, "z", SLOTS, setDraining);
+  private static EngineRecord engine(int number, boolean draining) {
+    return new EngineRecord("e" + number, "s", "10.0.0.1", 80, "z", SLOTS, draining);
   }
 
   private CallCoordinator node(int number) {
@@ -201,10 +201,10 @@
     return responder;
   }
 
-  private void setDraining(boolean setDraining) {
+  private void setDraining(boolean draining) {
     for (EngineDirectory directory : directories) {
       for (int i = 0; i < ENGINES / 3; i++) {
-        directory.put(engine(i, setDraining));
+        directory.put(engine(i, draining));
       }
     }
   }
@@ -230,6 +230,6 @@
     long lost = callers.stream().filter(caller -> caller.refusal() != null).count();
     assertEquals(0, lost, "of " + callers.size());
     assertTrue(
-        engines.refused < callers.size() * MAX_SENDS_PER_ROUND, engines.refused + " turned away");
+        engines.refused < callers.size() * MAX_SENDS_PER_ROUND, engines.refused + " refusals");
   }
 }
