--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ProgramAdmission.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ProgramAdmission.java
@@ -8,18 +8,20 @@
 import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
- * Decides whether programs begin. One begins only if its end within its aim is predicted; nobody is
- * refused while the service has room. Work of programs that run is never refused here: a program
- * that began is worth its end, and one that has not begun costs least to send away.
+ * Decides whether programs may start. No program is refused while the service has capacity; under
+ * load, the share of programs that may start follows from how far programs are predicted to exceed
+ * their usual duration, compared with the slack up to their finish target. Turns of running
+ * programs are never refused here: a refusal would waste the work that was done for them, whereas a
+ * refusal before the first turn costs least.
  */
 public final class ProgramAdmission {
-  /** Below this multiple of the wanted first answer engines have time to spare. */
-  private static final double SPARE_TARGETS = 0.5;
+  /** Engines have spare capacity while the wait is below this multiple of the response target. */
+  private static final double SPARE_WAIT_TARGETS = 0.5;
 
-  /** The least and the most that refused callers are asked to wait, before it is spread. */
-  private static final double LEAST_RETRY_MILLIS = 300;
+  /** Bounds of the retry delay of refused callers, before jitter. */
+  private static final double MIN_RETRY_MILLIS = 300;
 
-  private static final double MOST_RETRY_MILLIS = 1_333;
+  private static final double MAX_RETRY_MILLIS = 1_333;
 
   private final EngineDirectory engines;
   private final RandomGenerator random;
@@ -31,12 +33,12 @@
   private final Map<String, ProgramProfile> profiles = new HashMap<>();
 
   /**
-   * Creates an admission that has seen nothing.
+   * Creates an admission without observations.
    *
-   * @param engines whose load and pace count
-   * @param random sets this node's order of admission apart from that of others
-   * @param shares spreads the share of programs that may begin over those who ask
-   * @param log takes a line for each change
+   * @param engines the engines whose load and speed count
+   * @param random makes this node's sequence of admissions differ from that of others
+   * @param shares distributes the admitted share among the tenants
+   * @param log receives a line for each refusal and change of a share
    */
   public ProgramAdmission(
       EngineDirectory engines, RandomGenerator random, AdmissionShares shares, GatewayLog log) {
@@ -47,134 +49,142 @@
     this.retryDelay = new RetryDelay(random);
   }
 
-  /** Creates an admission that gives everybody of a kind the same share. */
+  /** Creates an admission that gives all tenants the same share. */
   public ProgramAdmission(EngineDirectory engines, RandomGenerator random, GatewayLog log) {
     this(engines, random, AdmissionShares.EVEN, log);
   }
 
-  /** Spreads the times at which refused callers return. */
+  /** Adds jitter to the retry delays of refused callers. */
   public RetryDelay retryDelay() {
     return retryDelay;
   }
 
   /**
-   * Whether every program of this kind may begin now, so that nothing is to be decided on a single
-   * one.
+   * Returns whether all programs of this route may start now, so that no decision on the single
+   * program is needed.
    */
-  public boolean unrestricted(AdmissionRequest opening, long nowNanos) {
-    boolean unrestricted = share(opening, nowNanos) >= 1;
+  public boolean unrestricted(AdmissionRequest request, long nowNanos) {
+    boolean unrestricted = share(request, nowNanos) >= 1;
     if (unrestricted) {
-      shares.shareOf(opening.group(), 1, opening.use());
+      shares.shareOf(request.group(), 1, request.limitUse());
     }
     return unrestricted;
   }
 
   /**
-   * Decides on a program that has not begun anywhere.
+   * Decides on a program that has not started at any node.
    *
-   * @param requestId names its first turn in the log
-   * @param program names it in the log
+   * @param requestId the identifier of its first turn, for the log
+   * @param program the identifier of the program, for the log
    */
   public AdmissionDecision decide(
-      AdmissionRequest opening, String requestId, String program, long nowNanos) {
-    double share = share(opening, nowNanos);
+      AdmissionRequest request, String requestId, String program, long nowNanos) {
+    double share = share(request, nowNanos);
     if (share >= 1) {
       return new AdmissionDecision(AdmissionDecision.Cause.ADMITTED, 0);
     }
-    RouteAdmission kind = kind(opening);
-    DurationPrediction prediction = kind.prediction();
-    long left = opening.finishMillis();
+    RouteAdmission routeAdmission = routeAdmission(request);
+    DurationPrediction prediction = routeAdmission.prediction();
+    long remainingMillis = request.finishMillis();
     AdmissionDecision.Cause cause = AdmissionDecision.Cause.NO_ROOM;
-    if (left > 0 && left < prediction.leastMillis()) {
+    if (remainingMillis > 0 && remainingMillis < prediction.minRemainingMillis()) {
       cause = AdmissionDecision.Cause.TOO_LATE;
-    } else if (kind.admits(shares.shareOf(opening.group(), share, opening.use()))) {
+    } else if (routeAdmission.admitNext(
+        shares.shareOf(request.group(), share, request.limitUse()))) {
       return new AdmissionDecision(AdmissionDecision.Cause.ADMITTED, 0);
     }
-    double untilRoomMillis = (1 - share) * kind.programMillis();
+    double untilCapacityMillis = (1 - share) * routeAdmission.programMillis();
     long retryMillis =
-        Math.round(Math.max(LEAST_RETRY_MILLIS, Math.min(MOST_RETRY_MILLIS, untilRoomMillis)));
-    AdmissionDecision refused = new AdmissionDecision(cause, retryDelay.around(retryMillis));
-    log.refused(
-        opening, requestId, program, share, prediction, service(opening.service()).room(), refused);
-    return refused;
-  }
-
-  private double share(AdmissionRequest opening, long nowNanos) {
-    ServiceAdmission service = service(opening.service());
-    RouteAdmission kind = kind(opening);
-    double share = service.share(kind, opening.targetMillis(), nowNanos);
-    log.shared(kind, share, service.room(), nowNanos);
+        Math.round(Math.max(MIN_RETRY_MILLIS, Math.min(MAX_RETRY_MILLIS, untilCapacityMillis)));
+    AdmissionDecision refusal = new AdmissionDecision(cause, retryDelay.jittered(retryMillis));
+    log.logRefusal(
+        request,
+        requestId,
+        program,
+        share,
+        prediction,
+        service(request.service()).capacity(),
+        refusal);
+    return refusal;
+  }
+
+  private double share(AdmissionRequest request, long nowNanos) {
+    ServiceAdmission service = service(request.service());
+    RouteAdmission routeAdmission = routeAdmission(request);
+    double share = service.share(routeAdmission, request.responseTargetMillis(), nowNanos);
+    log.logShareChange(routeAdmission, share, service.capacity(), nowNanos);
     return share;
   }
 
-  private RouteAdmission kind(AdmissionRequest opening) {
-    return service(opening.service()).kind(opening, profile(opening.kind()));
+  private RouteAdmission routeAdmission(AdmissionRequest request) {
+    return service(request.service()).routeAdmission(request, profile(request.route()));
   }
 
   private ServiceAdmission service(String name) {
     return services.computeIfAbsent(name, key -> new ServiceAdmission(key, engines, random));
   }
 
-  private ProgramProfile profile(String kind) {
-    return profiles.computeIfAbsent(kind, key -> new ProgramProfile());
+  private ProgramProfile profile(String route) {
+    return profiles.computeIfAbsent(route, key -> new ProgramProfile());
   }
 
-  /** A program began. */
-  public void programOpened(String kind, long finishMillis, long nowNanos) {
-    profile(kind).programOpened(finishMillis, nowNanos);
+  /** Records that a program started. */
+  public void programStarted(String route, long finishMillis, long nowNanos) {
+    profile(route).programStarted(finishMillis, nowNanos);
   }
 
   /**
-   * A turn of a program's first line came and is served.
+   * Records that a turn of a program's first conversation arrived and is served.
    *
-   * @param line identifies its line of turns
+   * @param conversation the identifier of the conversation
    */
-  public void turnBegan(String kind, String line, long nowNanos) {
-    ProgramProfile profile = profile(kind);
-    profile.turnBegan(nowNanos);
-    pauses.turnBegan(line, profile, nowNanos);
+  public void turnStarted(String route, String conversation, long nowNanos) {
+    ProgramProfile profile = profile(route);
+    profile.turnStarted(nowNanos);
+    pauses.turnStarted(conversation, profile, nowNanos);
   }
 
-  /** Whether this process lately served a turn of a line. */
-  public boolean served(String line) {
-    return pauses.served(line);
+  /** Whether this node has recently served a turn of a conversation. */
+  public boolean servedRecently(String conversation) {
+    return pauses.servedRecently(conversation);
   }
 
-  /** A turn that was told to have begun is over. */
-  public void turnEnded(String line, long nowNanos) {
-    pauses.turnEnded(line, nowNanos);
+  /** Records that a turn ended for which {@link #turnStarted} was called. */
+  public void turnEnded(String conversation, long nowNanos) {
+    pauses.turnEnded(conversation, nowNanos);
   }
 
-  /** A line of turns called another service. */
-  public void toolUsed(String line, String service) {
-    pauses.toolUsed(line, service);
+  /** Records that a conversation called another service. */
+  public void toolCalled(String conversation, String service) {
+    pauses.toolCalled(conversation, service);
   }
 
-  /** A request was sent to an engine; {@link #requestAnswered} follows. */
+  /** Records that a request was sent to an engine; {@link #requestWaitEnded} follows. */
   public void requestSent(String service, long sentNanos) {
-    service(service).ownWait().sent(sentNanos);
+    service(service).localWait().sent(sentNanos);
   }
 
-  /** A request that was sent got its first event, or came to nothing. */
-  public void requestAnswered(String service, long sentNanos) {
-    service(service).ownWait().answered(sentNanos);
+  /** Records that a sent request got its first event or ended without one. */
+  public void requestWaitEnded(String service, long sentNanos) {
+    service(service).localWait().waitEnded(sentNanos);
   }
 
   /**
-   * Notes how long a request waited at an engine beyond what its prompt explains.
+   * Records how long a request waited at an engine beyond the time that its prompt explains.
    *
-   * @param millis the wait; negative values count as none
+   * @param millis the wait; negative values count as 0
    */
   public void observeWait(String service, double millis, long nowNanos) {
     service(service).observeWait(millis, nowNanos);
   }
 
   /**
-   * Whether engines have time to spare for work that may turn out to be for nothing.
+   * Whether engines have spare capacity for work whose result may have to be discarded.
    *
-   * @param targetMillis the time within which the route wants an answer to begin
+   * @param responseTargetMillis the route's response target, in milliseconds
    */
-  public boolean hasSpareCapacity(String service, long targetMillis, long nowNanos) {
-    return service(service).ownWait().presentMillis(nowNanos) <= targetMillis * SPARE_TARGETS;
+  public boolean hasSpareCapacity(String service, long responseTargetMillis, long nowNanos) {
+    return service(service).localWait().currentMillis(nowNanos)
+        <= responseTargetMillis * SPARE_WAIT_TARGETS;
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AttemptSequence.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AttemptSequence.java
@@ -10,39 +10,39 @@
 import org.baykeel.gateway.scheduling.EngineSelector;
 
 /**
- * The attempts of one request, one after the other, at engines of its service: the choice of an
- * engine, the wait for room, and whether a failed attempt is followed by another.
+ * The attempts of one call, one after the other, at engines of its service: selects an engine,
+ * waits for capacity, and decides whether a failed attempt is followed by another.
  *
  * <p>Invariant: a request that may run only once is sent again only if the engine states that it
- * did not run it or if not one byte of it was sent.
+ * did not run it, or if not one byte of it was sent.
  */
 final class AttemptSequence implements EngineAttempt.Owner, ResponseSource, WaitQueue.Waiter {
-  /** Engines that are asked one after the other before the request waits for room. */
+  /** Engines that are tried one after the other before the request waits for capacity. */
   private static final int MAX_SENDS = 6;
 
   private static final long BUSY_RETRY_MILLIS = 150;
 
   /** The shortest wait after a round of engines that did not take the request. */
-  private static final long SHORTEST_WAIT_MILLIS = 10;
+  private static final long MIN_WAIT_MILLIS = 10;
 
-  /** What is kept of a request's time for its work at least, when it waits for room. */
-  private static final long SHORTEST_WORK_MILLIS = 20;
+  /** Lower bound of the time reserved for the work of a request that waits for capacity. */
+  private static final long MIN_WORK_MILLIS = 20;
 
-  /** Hears what the attempts come to; exactly one of the last three ends them. */
+  /** Receives the outcome of the attempts; exactly one of the last three methods ends them. */
   interface Owner {
-    /** A whole event of a stream. */
+    /** A complete event of a stream. */
     void onStreamEvent(StreamEvent event);
 
-    /** The stream is whole. */
+    /** The stream is complete. */
     void onStreamComplete();
 
-    /** A whole answer that is not a stream. */
-    void onWholeAnswer(ResponseHead head, byte[] body);
+    /** A complete response that is not a stream. */
+    void onWholeResponse(ResponseHead head, byte[] body);
 
     /**
-     * No attempt follows.
+     * No further attempt follows.
      *
-     * @param retryMillis after which time the caller may come back; 0 if it should not
+     * @param retryMillis when the caller may retry, in milliseconds; 0 if it should not
      */
     void onAttemptsFailed(ErrorKind kind, long retryMillis, String detail);
   }
@@ -54,22 +54,22 @@
   private final Owner owner;
   private final EventLoop eventLoop;
   private final Set<String> triedEngines = new HashSet<>();
-  private final WaitQueue roomQueue;
+  private final WaitQueue waitQueue;
   private final EngineSelector.Criteria criteria;
   private final SilenceWatch silenceWatch;
   private byte[] engineBody;
-  private WaitQueue.Ticket roomTicket;
+  private WaitQueue.Ticket waitTicket;
   private EngineAttempt attempt;
   private int sends;
   private int sendsInRound;
   private int runs;
-  private long notBeforeNanos;
-  private boolean turnedAway;
+  private long retryNotBeforeNanos;
+  private boolean anyEngineFull;
   private boolean ended;
 
   AttemptSequence(
       GatewayContext context,
-      WaitQueue roomQueue,
+      WaitQueue waitQueue,
       AuthorizedCall call,
       CallRecord record,
       ResponseRelay relay,
@@ -80,26 +80,26 @@
     this.relay = relay;
     this.owner = owner;
     this.eventLoop = context.eventLoop();
-    this.notBeforeNanos = eventLoop.nanoTime();
-    this.roomQueue = roomQueue;
+    this.retryNotBeforeNanos = eventLoop.nanoTime();
+    this.waitQueue = waitQueue;
     this.criteria = criteria(call);
     this.silenceWatch = new SilenceWatch(eventLoop, call.route(), this::onSilence);
   }
 
   /**
-   * Sends the request to an engine, after those that wait for room already.
+   * Sends the request to an engine, after the requests that already wait for capacity.
    *
    * @param body the body for engines
    */
-  void begin(byte[] body) {
+  void start(byte[] body) {
     engineBody = body;
-    if (!roomQueue.anyWaits(roomNeed()) || !waitForRoom()) {
+    if (!waitQueue.hasWaiting(requirement()) || !waitForCapacity()) {
       dispatch();
     }
   }
 
-  /** Whether the request was sent or waits for room to be sent. */
-  boolean begun() {
+  /** Whether the request was sent or waits for capacity. */
+  boolean started() {
     return engineBody != null;
   }
 
@@ -108,7 +108,7 @@
     return sends;
   }
 
-  /** How often it was sent less those sends after which it certainly did not run. */
+  /** How often the request was sent, without the sends after which it certainly did not run. */
   int runs() {
     return runs;
   }
@@ -118,7 +118,7 @@
     return silenceWatch.firstEventNanos();
   }
 
-  /** Cancels what is under way; may be repeated. */
+  /** Cancels the current attempt, if any; idempotent. */
   void cancel(String outcome) {
     if (attempt != null) {
       attempt.cancel();
@@ -126,11 +126,11 @@
     }
   }
 
-  /** The request is over: nothing more is sent. */
+  /** Ends the attempts: nothing more is sent. */
   void end() {
     ended = true;
-    if (roomTicket != null) {
-      roomTicket.leave();
+    if (waitTicket != null) {
+      waitTicket.leave();
     }
     silenceWatch.end();
   }
@@ -159,16 +159,18 @@
             eventLoop,
             context.admission(),
             this);
-    long remaining = Math.max(1, (call.deadlineNanos() - now) / 1_000_000);
+    long remainingMillis = Math.max(1, (call.deadlineNanos() - now) / 1_000_000);
     attempt.send(
         context.transport(),
         new EngineRequest(
-            call.request(), engineBody, remaining, call.caller(), relay.lastEventId(), rank));
-    relay.readsFrom(this);
+            call.request(), engineBody, remainingMillis, call.caller(), relay.lastEventId(), rank));
+    relay.readFrom(this);
     silenceWatch.sent();
   }
 
-  /** While the caller reads nothing, the engine is not listened to and can't fall silent. */
+  /**
+   * While the caller does not read, the engine is not read either, so its silence does not count.
+   */
   @Override
   public void pause() {
     silenceWatch.pause();
@@ -196,68 +198,74 @@
   }
 
   private void onNoEngine() {
-    notBeforeNanos = eventLoop.nanoTime() + SHORTEST_WAIT_MILLIS * 1_000_000;
-    boolean onlyFailures = sendsInRound >= MAX_SENDS && !turnedAway;
-    if (onlyFailures || !waitForRoom()) {
-      onNoRoom();
+    retryNotBeforeNanos = eventLoop.nanoTime() + MIN_WAIT_MILLIS * 1_000_000;
+    boolean onlyFailures = sendsInRound >= MAX_SENDS && !anyEngineFull;
+    if (onlyFailures || !waitForCapacity()) {
+      onNoCapacity();
     }
   }
 
   /**
-   * Waits until an engine is expected to have a place.
+   * Waits until an engine is expected to have a free slot.
    *
-   * @return false if no engine takes work, or the time for waiting is over
+   * @return false if no engine takes work, or if a slot is expected only after the time limit
    */
-  private boolean waitForRoom() {
-    long nextPlaceNanos = nextPlaceNanos();
+  private boolean waitForCapacity() {
+    long nextCapacityNanos = nextCapacityNanos();
     long giveUpNanos = giveUpNanos();
-    if (nextPlaceNanos == Long.MAX_VALUE || nextPlaceNanos - giveUpNanos >= 0) {
+    if (nextCapacityNanos == Long.MAX_VALUE || nextCapacityNanos - giveUpNanos >= 0) {
       return false;
     }
-    roomTicket = roomQueue.join(roomNeed(), hasAim(), dueNanos(), giveUpNanos, this);
+    waitTicket = waitQueue.add(requirement(), canMeetTarget(), dueNanos(), giveUpNanos, this);
     return true;
   }
 
   @Override
-  public long nextPlaceNanos() {
+  public long nextCapacityNanos() {
     long now = eventLoop.nanoTime();
-    long nextPlaceNanos = context.selector().nextCapacityNanos(criteria, triedEngines, now);
-    return Math.max(nextPlaceNanos, notBeforeNanos);
+    long nextCapacityNanos = context.selector().nextCapacityNanos(criteria, triedEngines, now);
+    return Math.max(nextCapacityNanos, retryNotBeforeNanos);
   }
 
-  private WaitQueue.Need roomNeed() {
-    return new WaitQueue.Need(call.service(), call.residency(), call.route().repeatable());
+  private WaitQueue.Requirement requirement() {
+    return new WaitQueue.Requirement(call.service(), call.residency(), call.route().repeatable());
   }
 
-  /** Whether the request came early enough to end before its program is to be over. */
-  private boolean hasAim() {
+  /** Whether the request arrived early enough to finish before its program is due. */
+  private boolean canMeetTarget() {
     return call.attributes().finishMillis() > workMillis();
   }
 
-  /** The usual time of its work. */
+  /** The usual time of the request's work. */
   private double workMillis() {
-    return Math.max(SHORTEST_WORK_MILLIS, context.selector().usualResponseMillis(criteria));
+    return Math.max(MIN_WORK_MILLIS, context.selector().usualResponseMillis(criteria));
   }
 
-  /** When the program is to be over or the caller no longer waits, whichever is first. */
+  /**
+   * The due time of the program or the caller's deadline, whichever is first; only the deadline if
+   * the due time cannot be met.
+   */
   private long dueNanos() {
-    long aimNanos = call.request().receivedNanos() + call.attributes().finishMillis() * 1_000_000;
-    return hasAim() ? Math.min(aimNanos, call.deadlineNanos()) : call.deadlineNanos();
+    long finishTargetNanos =
+        call.request().receivedNanos() + call.attributes().finishMillis() * 1_000_000;
+    return canMeetTarget()
+        ? Math.min(finishTargetNanos, call.deadlineNanos())
+        : call.deadlineNanos();
   }
 
   /**
-   * When a wait for room must end, so that the work can still be done in its time: for what may run
-   * only once, and would be lost with its program, in that of its caller; for other requests also
-   * in what is left of the program's aim.
+   * When a wait for capacity must end so that the work can still finish in time. A request that may
+   * run only once has until the caller's deadline, since its program is lost with it; any other
+   * request must also meet its program's due time if it still can.
    */
   private long giveUpNanos() {
-    long endNanos = call.route().repeatable() ? dueNanos() : call.deadlineNanos();
-    return endNanos - Math.round(workMillis() * 1e6);
+    long limitNanos = call.route().repeatable() ? dueNanos() : call.deadlineNanos();
+    return limitNanos - Math.round(workMillis() * 1e6);
   }
 
-  private void onNoRoom() {
-    if (relay.begun() || runs > 0) {
-      owner.onAttemptsFailed(ErrorKind.BACKEND_FAILED, 0, "no engine left");
+  private void onNoCapacity() {
+    if (relay.headSent() || runs > 0) {
+      owner.onAttemptsFailed(ErrorKind.BACKEND_FAILED, 0, "no engine left to try");
     } else {
       failWithoutEngine();
     }
@@ -271,16 +279,16 @@
   }
 
   @Override
-  public void onPlaceExpected() {
+  public void onCapacityExpected() {
     triedEngines.clear();
-    turnedAway = false;
+    anyEngineFull = false;
     sendsInRound = 0;
     dispatch();
   }
 
   @Override
   public void onWaitTooLong() {
-    onNoRoom();
+    onNoCapacity();
   }
 
   private void onSilence() {
@@ -297,33 +305,33 @@
   }
 
   private void endAttempt(String outcome) {
-    EngineAttempt over = attempt;
+    EngineAttempt finished = attempt;
     attempt = null;
-    over.close();
-    roomQueue.onPlaceFree(roomNeed());
+    finished.close();
+    waitQueue.onSlotFree(requirement());
     if (!outcome.equals("complete")) {
-      record.attemptEnded(over, outcome, relay.eventsPassed());
+      record.attemptEnded(finished, outcome, relay.eventsSent());
     }
   }
 
   @Override
-  public int waitingForRoom() {
-    return roomQueue.waiting(roomNeed());
+  public int waitingForCapacity() {
+    return waitQueue.waiting(requirement());
   }
 
   @Override
   public void onAttemptProgress() {
-    silenceWatch.heard();
+    silenceWatch.dataReceived();
   }
 
   @Override
   public void onStreamHead(ResponseHead head) {
-    relay.head(head);
+    relay.setHead(head);
   }
 
   @Override
   public void onStreamEvent(StreamEvent event) {
-    silenceWatch.event();
+    silenceWatch.eventReceived();
     owner.onStreamEvent(event);
   }
 
@@ -337,8 +345,8 @@
   public void onNotRun(EngineAttempt.NotRun reason, String outcome) {
     runs--;
     if (reason == EngineAttempt.NotRun.FULL) {
-      // It may be asked again once it is expected to have a place.
-      turnedAway = true;
+      // The engine may be tried again once it is expected to have a free slot.
+      anyEngineFull = true;
       triedEngines.remove(attempt.engine().record().id());
     }
     endAttempt(outcome);
@@ -359,9 +367,9 @@
   }
 
   @Override
-  public void onWholeAnswer(ResponseHead head, byte[] body) {
-    if (relay.begun()) {
-      onBroken("status " + head.status() + " in place of the rest");
+  public void onWholeResponse(ResponseHead head, byte[] body) {
+    if (relay.headSent()) {
+      onBroken("status " + head.status() + " instead of the rest of the stream");
       return;
     }
     boolean engineFailed = head.status() >= 500;
@@ -375,6 +383,6 @@
       attempt.engine().succeeded();
     }
     endAttempt("complete");
-    owner.onWholeAnswer(head, body);
+    owner.onWholeResponse(head, body);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallAuthorization.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallAuthorization.java
@@ -16,68 +16,71 @@
 import org.baykeel.gateway.tenancy.Tenant;
 
 /**
- * The first step of a call: finds its route and its tenant and takes a request off the tenant's
- * limit. Nothing has been sent to an engine before it is over.
+ * The first step of a call: determines its route and tenant and charges one request to the tenant's
+ * limit. Nothing is sent to an engine before this step has completed.
  */
 final class CallAuthorization {
   private static final long NOT_READY_RETRY_MILLIS = 250;
 
-  /** Other nodes may have a configuration that is recent enough; the caller tries one of them. */
+  /** Other nodes may have a recent enough configuration; the caller retries at one of them. */
   private static final long STALE_RETRY_MILLIS = 100;
 
   /**
-   * The store is silent for all nodes, as far as this one can tell. Callers wait no longer than a
-   * third of the time that they have, and their few tries should last until it is back.
+   * Judging by this node's own calls, the store is unreachable for all nodes. Callers wait no
+   * longer than a third of the time that they have, and their few retries should last until the
+   * store is back.
    */
   private static final long OUTAGE_RETRY_MILLIS = 1_000;
 
-  /** A bucket without a holder gets one within a lease. */
+  /** A token bucket without a holder gets one within the term of a lease. */
   private static final long NO_HOLDER_RETRY_MILLIS = 300;
 
-  /** The part of a request's time for which it waits for the decision on its limit. */
-  private static final double LIMIT_PART_OF_PATIENCE = 0.3;
+  /** The part of a request's time that the decision on its limit may take. */
+  private static final double LIMIT_PART_OF_TIME = 0.3;
 
   private final GatewayContext context;
   private final CallRequest request;
-  private final Consumer<Outcome> answer;
+  private final Consumer<Outcome> outcomeListener;
   private GatewayConfiguration configuration;
   private Route route;
 
-  /** How the step ended. */
+  /** The outcome of the step. */
   sealed interface Outcome {
     /**
-     * The call may go on.
+     * The call may proceed.
      *
      * @param configuration the configuration under which it runs
      * @param route its route
      * @param caller on whose behalf it runs
-     * @param use what its tenant asked for lately
+     * @param limitUse the tenant's recent use of its limit
      */
-    record Admitted(GatewayConfiguration configuration, Route route, Caller caller, LimitUse use)
+    record Authorized(
+        GatewayConfiguration configuration, Route route, Caller caller, LimitUse limitUse)
         implements Outcome {}
 
     /**
      * The call ends here.
      *
      * @param route its route; null if it has none
-     * @param tenant the name of its tenant for the log
-     * @param refusal what the caller is told
+     * @param tenant the name of its tenant, for the log
+     * @param refusal the refusal that the caller gets
      */
     record Refused(Route route, String tenant, Refusal refusal) implements Outcome {}
   }
 
   /**
-   * Creates a step that has not begun.
+   * Creates a step that has not started.
    *
-   * @param answer takes the outcome, exactly once
+   * @param outcomeListener receives the outcome, exactly once
    */
-  CallAuthorization(GatewayContext context, CallRequest request, Consumer<Outcome> answer) {
+  CallAuthorization(
+      GatewayContext context, CallRequest request, Consumer<Outcome> outcomeListener) {
     this.context = context;
     this.request = request;
-    this.answer = answer;
+    this.outcomeListener = outcomeListener;
   }
 
-  void begin() {
+  void start() {
     configuration = context.state().configuration();
     if (configuration == null) {
       refuse(ErrorKind.NOT_READY, NOT_READY_RETRY_MILLIS, "no configuration");
@@ -87,39 +90,46 @@
     if (route == null) {
       refuseUnknownRoute();
     } else if (!configuration.tenants().keysRequired()) {
-      admit(Caller.WITHOUT_KEYS, LimitUse.UNKNOWN);
+      authorize(Caller.WITHOUT_KEYS, LimitUse.UNKNOWN);
     } else if (route.anonymous()) {
-      admit(Caller.ANONYMOUS, LimitUse.UNKNOWN);
+      authorize(Caller.ANONYMOUS, LimitUse.UNKNOWN);
     } else {
       context
           .authenticator()
-          .authenticate(request.attributes().apiKey(), request.receivedNanos(), this::onVerdict);
+          .authenticate(
+              request.attributes().apiKey(), request.receivedNanos(), this::onKeyDecision);
     }
   }
 
   private void refuseUnknownRoute() {
-    if (context.state().current()) {
+    if (context.state().configurationRecent()) {
       refuse(ErrorKind.UNKNOWN_RESOURCE, 0, "no route");
     } else {
-      refuse(ErrorKind.NOT_READY, NOT_READY_RETRY_MILLIS, "no route in an old configuration");
+      refuse(
+          ErrorKind.NOT_READY,
+          NOT_READY_RETRY_MILLIS,
+          "no route, but the configuration may be outdated");
     }
   }
 
-  private void onVerdict(KeyDecision verdict) {
-    if (verdict instanceof KeyDecision.Accepted accepted) {
+  private void onKeyDecision(KeyDecision decision) {
+    if (decision instanceof KeyDecision.Accepted accepted) {
       context.metrics().keyChecked("accepted");
-      takeOffLimit(accepted.tenant());
-    } else if (verdict instanceof KeyDecision.Undecided undecided) {
+      chargeLimit(accepted.tenant());
+    } else if (decision instanceof KeyDecision.Undecided undecided) {
       context.metrics().keyChecked("undecided");
       String detail = "configuration too old, proven_ms_ago=" + undecided.ageMillis();
       refuse(ErrorKind.NOT_READY, retryMillis(STALE_RETRY_MILLIS), detail);
     } else {
       context.metrics().keyChecked("ruled_out");
-      refuse(ErrorKind.UNAUTHORIZED, 0, "no tenant holds key " + request.attributes().apiKey());
+      refuse(ErrorKind.UNAUTHORIZED, 0, "no tenant has key " + request.attributes().apiKey());
     }
   }
 
-  /** A turn that is refused for its budget does not run, so it takes nothing off the limit. */
+  /**
+   * A turn that is refused because its budget is spent does not run, so it is not charged to the
+   * limit.
+   */
   private boolean budgetSpent(Tenant tenant) {
     CallAttributes attributes = request.attributes();
     return route.kind() == RouteKind.STREAMING
@@ -132,41 +142,41 @@
                 attributes.maxOutputTokens());
   }
 
-  private long retryMillis(long whileOthersServe) {
-    return context.storeHealth().reachable() ? whileOthersServe : OUTAGE_RETRY_MILLIS;
+  private long retryMillis(long whileReachableMillis) {
+    return context.storeHealth().reachable() ? whileReachableMillis : OUTAGE_RETRY_MILLIS;
   }
 
-  private void takeOffLimit(Tenant tenant) {
+  private void chargeLimit(Tenant tenant) {
     if (budgetSpent(tenant)) {
       refuse(tenant, ErrorKind.BUDGET_EXCEEDED, 0, "budget spent");
       return;
     }
-    long patience = request.attributes().patienceMillis(route.timeoutMillis());
-    long limitPatience = Math.round(patience * LIMIT_PART_OF_PATIENCE);
+    long timeoutMillis = request.attributes().timeoutMillis(route.timeoutMillis());
+    long limitTimeoutMillis = Math.round(timeoutMillis * LIMIT_PART_OF_TIME);
     context
         .limiter()
-        .decide(limited(tenant), limitPatience, decision -> onDecision(tenant, decision));
+        .decide(limited(tenant), limitTimeoutMillis, decision -> onDecision(tenant, decision));
   }
 
   private LimitedRequest limited(Tenant tenant) {
     CallAttributes attributes = request.attributes();
     String program = Caller.of(tenant).scoped(attributes.programId());
-    boolean opening =
+    boolean firstTurn =
         route.kind() == RouteKind.STREAMING
-            && attributes.firstLine()
+            && attributes.firstConversation()
             && !context.budgets().isKnown(program);
     return new LimitedRequest(
         tenant,
-        opening ? RequestKind.FIRST_TURN : RequestKind.CONTINUING,
+        firstTurn ? RequestKind.FIRST_TURN : RequestKind.CONTINUING,
         Optional.ofNullable(program).map(ProgramId::new));
   }
 
   private void onDecision(Tenant tenant, Decision decision) {
     if (decision instanceof Decision.Allowed allowed) {
-      admit(Caller.of(tenant), allowed.use());
+      authorize(Caller.of(tenant), allowed.use());
     } else if (decision instanceof Decision.Exceeded exceeded) {
       String detail =
-          "tenant's limit, rate="
+          "tenant's limit exceeded, rate="
               + tenant.limit().requestsPerSecond()
               + " burst="
               + tenant.limit().burst()
@@ -178,27 +188,32 @@
           tenant,
           ErrorKind.NOT_READY,
           retryMillis(NO_HOLDER_RETRY_MILLIS),
-          "nobody holds the limit");
+          "no node holds the tenant's limit");
     }
   }
 
-  private void admit(Caller caller, LimitUse use) {
-    answer.accept(new Outcome.Admitted(configuration, route, caller, use));
+  private void authorize(Caller caller, LimitUse limitUse) {
+    outcomeListener.accept(new Outcome.Authorized(configuration, route, caller, limitUse));
   }
 
   private void refuse(ErrorKind kind, long retryMillis, String detail) {
-    answer.accept(new Outcome.Refused(route, "none", spread(kind, retryMillis, detail)));
+    outcomeListener.accept(
+        new Outcome.Refused(route, "none", jitteredRefusal(kind, retryMillis, detail)));
   }
 
   private void refuse(Tenant tenant, ErrorKind kind, long retryMillis, String detail) {
     String name = tenant.id().value();
-    answer.accept(new Outcome.Refused(route, name, spread(kind, retryMillis, detail)));
+    outcomeListener.accept(
+        new Outcome.Refused(route, name, jitteredRefusal(kind, retryMillis, detail)));
   }
 
-  /** The limiter knows when a token is there; before that it is of no use to come back. */
-  private Refusal spread(ErrorKind kind, long retryMillis, String detail) {
-    boolean exact = kind == ErrorKind.RATE_LIMITED;
-    long delay = exact ? retryMillis : context.admission().retryDelay().around(retryMillis);
+  /**
+   * Adds jitter to the retry delay, except for a rate limit: there the limiter has computed when a
+   * token will be available, and an earlier retry would be in vain.
+   */
+  private Refusal jitteredRefusal(ErrorKind kind, long retryMillis, String detail) {
+    boolean rateLimited = kind == ErrorKind.RATE_LIMITED;
+    long delay = rateLimited ? retryMillis : context.admission().retryDelay().jittered(retryMillis);
     return new Refusal(kind, delay, detail);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineAttempt.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineAttempt.java
@@ -10,48 +10,51 @@
 import org.baykeel.gateway.runtime.EventLoop;
 
 /**
- * One send of a request to one engine: reads the answer, tells its owner what it amounts to, and
- * notes what it shows about the engine, unless it was not read for a while. After {@link #close}
- * the owner hears nothing more.
+ * One send of a request to one engine. Reads the response, reports the outcome to its owner, and
+ * records the times that it observes at the engine, unless reading was paused meanwhile. The owner
+ * is not notified any more after {@link #close}.
  */
 final class EngineAttempt implements EngineTransport.Listener, ResponseSource {
   private static final int MISDIRECTED = 421;
 
   /** Why an engine did not run a request. */
   enum NotRun {
-    /** It has no place for it. */
+    /** The engine has no free slot. */
     FULL,
-    /** It is another engine than the one that was meant. */
+    /** The request reached another engine than the one it was meant for. */
     MISDIRECTED,
-    /** Nothing reached it. */
+    /** Nothing was sent. */
     NOT_SENT
   }
 
-  /** Hears what became of the attempt; exactly one of the last four ends it. */
+  /**
+   * Receives the progress and the outcome of the attempt; exactly one of the last four methods ends
+   * it.
+   */
   interface Owner {
-    /** Requests of its service that wait for room at this process. */
-    int waitingForRoom();
+    /** The number of requests with the same requirement that wait at this node. */
+    int waitingForCapacity();
 
-    /** Something arrived. */
+    /** Data arrived from the engine. */
     void onAttemptProgress();
 
-    /** A signed stream begins. */
+    /** A signed stream starts. */
     void onStreamHead(ResponseHead head);
 
-    /** A whole event. */
+    /** A complete event. */
     void onStreamEvent(StreamEvent event);
 
-    /** The stream is whole. */
+    /** The stream is complete. */
     void onStreamComplete();
 
     /** The engine did not run the request. */
     void onNotRun(NotRun reason, String outcome);
 
-    /** The engine may have run the request, and there is no whole answer. */
+    /** The engine may have run the request, but there is no complete response. */
     void onBroken(String detail);
 
-    /** A whole answer that is not a stream. */
-    void onWholeAnswer(ResponseHead head, byte[] body);
+    /** A complete response that is not a stream. */
+    void onWholeResponse(ResponseHead head, byte[] body);
   }
 
   private final Engine engine;
@@ -62,7 +65,7 @@
   private final Owner owner;
   private final EventStreamParser parser = new EventStreamParser();
   private final double expectedMillis;
-  private final int unreadTokens;
+  private final int uncachedTokens;
   private final boolean continuation;
   private final long startedNanos;
   private EngineTransport.Exchange exchange;
@@ -70,8 +73,8 @@
   private ByteArrayOutputStream body;
   private long lastEventNanos;
   private int events;
-  private boolean heldBack;
-  private boolean waiting;
+  private boolean wasPaused;
+  private boolean awaitingFirstEvent;
   private boolean closed;
 
   EngineAttempt(
@@ -88,7 +91,7 @@
     this.admission = admission;
     this.owner = owner;
     this.expectedMillis = engine.expectedFirstEventMillis(prompt);
-    this.unreadTokens = engine.cachedPrefixes().uncachedTokens(prompt);
+    this.uncachedTokens = engine.cachedPrefixes().uncachedTokens(prompt);
     this.continuation = engine.cachedPrefixes().containsOwnPart(prompt);
     this.startedNanos = eventLoop.nanoTime();
   }
@@ -96,8 +99,8 @@
   void send(EngineTransport transport, EngineRequest request) {
     engine.requestStarted(startedNanos);
     engine.capacity().sent(startedNanos);
-    waiting = !prompt.isEmpty();
-    if (waiting) {
+    awaitingFirstEvent = !prompt.isEmpty();
+    if (awaitingFirstEvent) {
       admission.requestSent(engine.record().service(), startedNanos);
     }
     exchange = transport.send(engine, request, this);
@@ -114,7 +117,7 @@
   @Override
   public void pause() {
     if (!closed) {
-      heldBack = true;
+      wasPaused = true;
       exchange.pauseReading();
     }
   }
@@ -133,29 +136,29 @@
   void close() {
     closed = true;
     engine.requestEnded(startedNanos);
-    noteAnswered();
+    endWait();
   }
 
-  private void noteAnswered() {
-    if (waiting) {
-      waiting = false;
-      admission.requestAnswered(engine.record().service(), startedNanos);
+  private void endWait() {
+    if (awaitingFirstEvent) {
+      awaitingFirstEvent = false;
+      admission.requestWaitEnded(engine.record().service(), startedNanos);
     }
   }
 
   @Override
-  public void onHead(ResponseHead answerHead) {
+  public void onHead(ResponseHead responseHead) {
     if (closed) {
       return;
     }
-    head = answerHead;
+    head = responseHead;
     owner.onAttemptProgress();
     ResponseTraits traits = head.traits();
     if (head.status() == MISDIRECTED || traits.notExecuted()) {
       onNotExecuted();
     } else if (head.success() && !traits.signed()) {
       exchange.cancel();
-      owner.onBroken("success without signature");
+      owner.onBroken("success response without signature");
     } else if (head.success() && traits.eventStream()) {
       owner.onStreamHead(head);
     } else {
@@ -163,14 +166,17 @@
     }
   }
 
-  private void saidFull() {
+  private void recordFull() {
     ServicePerformance performance = engine.performance();
-    double answerMillis =
+    double responseMillis =
         prompt.isEmpty() ? performance.nonStreamMillis() : performance.streamMillis();
     engine
         .capacity()
         .reportedFull(
-            answerMillis, engine.record().slots(), owner.waitingForRoom(), eventLoop.nanoTime());
+            responseMillis,
+            engine.record().slots(),
+            owner.waitingForCapacity(),
+            eventLoop.nanoTime());
   }
 
   private void onNotExecuted() {
@@ -178,7 +184,7 @@
     if (misdirected) {
       engine.failed(eventLoop.nanoTime());
     } else {
-      saidFull();
+      recordFull();
     }
     owner.onNotRun(misdirected ? NotRun.MISDIRECTED : NotRun.FULL, "not_executed_" + head.status());
   }
@@ -200,31 +206,31 @@
     if (closed) {
       return;
     }
-    long now = eventLoop.nanoTime();
+    long nowNanos = eventLoop.nanoTime();
     if (events == 0) {
-      noteFirstEvent(now);
-    } else if (!heldBack) {
-      engine.observeInterEventTime((now - lastEventNanos) / 1e6);
+      recordFirstEvent(nowNanos);
+    } else if (!wasPaused) {
+      engine.observeInterEventTime((nowNanos - lastEventNanos) / 1e6);
     }
-    lastEventNanos = now;
+    lastEventNanos = nowNanos;
     events++;
     owner.onStreamEvent(event);
   }
 
-  private void noteFirstEvent(long now) {
-    noteAnswered();
+  private void recordFirstEvent(long nowNanos) {
+    endWait();
     engine.cachedPrefixes().add(prompt);
-    if (heldBack) {
+    if (wasPaused) {
       return;
     }
-    double firstMillis = (now - startedNanos) / 1e6;
-    engine.performance().observeFirstEvent(unreadTokens, firstMillis);
+    double firstMillis = (nowNanos - startedNanos) / 1e6;
+    engine.performance().observeFirstEvent(uncachedTokens, firstMillis);
     if (continuation) {
-      engine.performance().observeNewTokens(unreadTokens);
+      engine.performance().observeNewTokens(uncachedTokens);
     }
     double waitMillis = firstMillis - expectedMillis;
-    engine.observeWait(waitMillis, now);
-    admission.observeWait(engine.record().service(), waitMillis, now);
+    engine.observeWait(waitMillis, nowNanos);
+    admission.observeWait(engine.record().service(), waitMillis, nowNanos);
   }
 
   @Override
@@ -234,12 +240,12 @@
     }
     engine.capacity().responseReceived(eventLoop.nanoTime());
     if (body != null) {
-      if (!heldBack) {
+      if (!wasPaused) {
         engine.performance().observeNonStream((eventLoop.nanoTime() - startedNanos) / 1e6);
       }
-      owner.onWholeAnswer(head, body.toByteArray());
+      owner.onWholeResponse(head, body.toByteArray());
     } else if (parser.midEvent()) {
-      owner.onBroken("ended within an event");
+      owner.onBroken("stream ended within an event");
     } else {
       engine.succeeded();
       engine.performance().observeEvents(events);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GatewayState.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GatewayState.java
@@ -16,15 +16,15 @@
 import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
- * What a process believes: the newest configuration, the engines, whether it stops. The version of
- * the configuration never goes back within one life of the process.
+ * The state of a node: the newest configuration, the engines, and whether the node is stopping. The
+ * version of the configuration never decreases while the process runs.
  */
 public final class GatewayState {
   /**
-   * Engines write their entries anew within about two seconds of the store's return; an entry that
-   * is missing after that is that of an engine which is gone. A fifth of a second is slack.
+   * Engines write their entries again within about 2 s of the store's return; an entry that is
+   * missing after that belongs to an engine that is gone. The remaining 0.2 s are a margin.
    */
-  private static final long LAPSES_END_NANOS = 2_200_000_000L;
+  private static final long LAPSE_WINDOW_NANOS = 2_200_000_000L;
 
   private static final long STORE_LOST_NANOS = 3_500_000_000L;
 
@@ -47,15 +47,15 @@
   }
 
   private void logRestart(
-      EngineId id, long bornBefore, long bornNow, EngineRestartListener.Source source) {
+      EngineId id, long startBefore, long startNow, EngineRestartListener.Source source) {
     log.write(
         GatewayEvent.ENGINE_RESTARTED,
         "engine",
         id.value(),
         "born_before",
-        bornBefore,
+        startBefore,
         "born",
-        bornNow,
+        startNow,
         "source",
         source.name().toLowerCase(Locale.ROOT));
   }
@@ -66,56 +66,59 @@
   }
 
   /** Adopts a configuration if it is newer than the one in force. */
-  public void adoptIfNewer(GatewayConfiguration offered) {
-    if (configuration != null && offered.version() <= configuration.version()) {
+  public void adoptIfNewer(GatewayConfiguration newConfiguration) {
+    if (configuration != null && newConfiguration.version() <= configuration.version()) {
       log.write(
           GatewayEvent.CONFIGURATION_IGNORED,
           "version",
-          offered.version(),
+          newConfiguration.version(),
           "in_force",
           configuration.version());
       return;
     }
-    configuration = offered;
+    configuration = newConfiguration;
     log.write(
         GatewayEvent.CONFIGURATION_IN_FORCE,
         "version",
-        offered.version(),
+        newConfiguration.version(),
         "routes",
-        offered.routeCount());
+        newConfiguration.routeCount());
   }
 
-  /** Adopts the whole list of engines. */
+  /** Replaces the list of engines. */
   public void replaceEngines(List<EngineRecord> records) {
     replaceEngines(records, List.of());
   }
 
   /**
-   * Adopts the whole list of engines.
+   * Replaces the list of engines.
    *
-   * @param faults the entries that name no engine to use
+   * @param faults the entries that do not describe a usable engine
    */
   public void replaceEngines(List<EngineRecord> records, List<EngineEntryFault> faults) {
     enginesKnown = true;
     List<EngineId> unusable = faults.stream().map(EngineEntryFault::engine).toList();
-    engines.replaceAll(records, unusable, lapsesEndNanos(), eventLoop.nanoTime());
+    engines.replaceAll(records, unusable, lapseWindowEndNanos(), eventLoop.nanoTime());
     entryFaults.retain(unusable);
-    faults.forEach(this::noteFault);
+    faults.forEach(this::recordFault);
     log.write(GatewayEvent.ENGINES_CHANGED, "listed", records.size(), "known", engines.size());
   }
 
-  /** An engine's entry names none to use: it gets no new work until its entry is good again. */
+  /**
+   * Withdraws an engine whose entry is unusable: it gets no new work until the entry is usable
+   * again.
+   */
   public void withdrawEngine(EngineEntryFault fault) {
     engines.withdraw(fault.engine());
-    noteFault(fault);
+    recordFault(fault);
   }
 
-  /** Entries that name no engine to use, as far as they are told apart. */
+  /** The number of unusable entries, counted by engine. */
   public long unusableEntries() {
     return entryFaults.size();
   }
 
-  private void noteFault(EngineEntryFault fault) {
+  private void recordFault(EngineEntryFault fault) {
     if (entryFaults.note(fault)) {
       log.write(
           GatewayEvent.ENGINE_ENTRY_UNUSABLE,
@@ -144,10 +147,10 @@
         engines.size());
   }
 
-  /** An engine's entry is gone. */
+  /** Removes an engine whose entry is gone. */
   public void removeEngine(String id) {
     entryFaults.clear(new EngineId(id));
-    engines.remove(id, lapsesEndNanos(), eventLoop.nanoTime());
+    engines.remove(id, lapseWindowEndNanos(), eventLoop.nanoTime());
     log.write(
         GatewayEvent.ENGINES_CHANGED,
         "engine",
@@ -155,44 +158,49 @@
         "removed",
         true,
         "disturbed",
-        storeDisturbed(),
+        storeFailedRecently(),
         "known",
         engines.size());
   }
 
-  /** Whether entries of engines may have lapsed in an outage that ended shortly before. */
-  public boolean storeDisturbed() {
-    return lapsesEndNanos() - eventLoop.nanoTime() > 0;
+  /**
+   * Whether a call to the store failed within the last 2.2 s, so that entries of engines may have
+   * expired in an outage.
+   */
+  public boolean storeFailedRecently() {
+    return lapseWindowEndNanos() - eventLoop.nanoTime() > 0;
   }
 
-  private long lapsesEndNanos() {
+  private long lapseWindowEndNanos() {
     long now = eventLoop.nanoTime();
     long sinceFailureNanos = storeHealth.nanosSinceFailure(now);
-    return sinceFailureNanos > LAPSES_END_NANOS ? now : now - sinceFailureNanos + LAPSES_END_NANOS;
+    return sinceFailureNanos > LAPSE_WINDOW_NANOS
+        ? now
+        : now - sinceFailureNanos + LAPSE_WINDOW_NANOS;
   }
 
   /** Whether the configuration in force is known to be recent. */
-  public boolean current() {
+  public boolean configurationRecent() {
     return storeHealth.nanosSinceAnswer(eventLoop.nanoTime()) < STORE_LOST_NANOS;
   }
 
-  /** The engines of a service, draining ones among them. */
+  /** The engines of a service, including draining ones. */
   public List<Engine> engines(String service) {
     return engines.ofService(service);
   }
 
-  /** Begins to stop: not ready from now on. */
+  /** Starts to stop: the node is not ready from now on. */
   public void stop() {
     stopping = true;
   }
 
-  /** Whether the process is stopping. */
+  /** Whether the node is stopping. */
   public boolean stopping() {
     return stopping;
   }
 
-  /** Whether new callers should come here. */
+  /** Whether the node should get new callers. */
   public boolean ready() {
-    return configuration != null && enginesKnown && !stopping && current();
+    return configuration != null && enginesKnown && !stopping && configurationRecent();
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ProgramStart.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ProgramStart.java
@@ -12,9 +12,11 @@
 import org.baykeel.gateway.directory.Engine;
 
 /**
- * Whether a turn is the first of its program, and if so whether the program may begin; also tells
- * what the turns of programs take. A program that has begun anywhere is never refused here: while
- * it matters and this node does not know, the store is asked.
+ * Determines whether a turn starts its program, and if so whether the program may start; also
+ * reports the turns of programs to {@link ProgramAdmission}. A program with a token budget that has
+ * started at any node is never refused here: if that matters and this node has no record of it, it
+ * reads the store. A program without a budget has no row in the store; only this node's own records
+ * show that it has started.
  */
 final class ProgramStart {
   private final GatewayContext context;
@@ -24,13 +26,13 @@
   private final String service;
   private final ProgramAdmission admission;
   private final String program;
-  private final String line;
-  private boolean mayOpen;
-  private boolean begunElsewhere;
-  private boolean turnBegan;
+  private final String conversation;
+  private boolean mayStart;
+  private boolean startedElsewhere;
+  private boolean turnStarted;
   private boolean closed;
 
-  /** Creates an opening on which nothing is decided. */
+  /** Creates a start on which nothing is decided. */
   ProgramStart(GatewayContext context, AuthorizedCall call) {
     this.context = context;
     this.call = call;
@@ -39,49 +41,54 @@
     this.service = call.service();
     this.admission = context.admission();
     this.program = call.caller().scoped(attributes.programId());
-    this.line = call.caller().scoped(attributes.sessionId());
+    this.conversation = call.caller().scoped(attributes.sessionId());
   }
 
   /**
-   * Decides whether the call may go on.
+   * Decides whether the call may proceed.
    *
-   * @param admitted runs if it may, unless the call is over by then
-   * @param refused takes what the caller is told if it may not
+   * @param admitted runs if it may, unless the call has ended by then
+   * @param refused receives the refusal if it may not
    */
-  void judge(Runnable admitted, Consumer<Refusal> refused) {
+  void decide(Runnable admitted, Consumer<Refusal> refused) {
     if (route.kind() != RouteKind.STREAMING) {
-      noteToolUse();
+      recordToolCall();
       admitted.run();
       return;
     }
-    mayOpen = mayOpen();
-    if (!mayOpen || admission.unrestricted(opening(), now())) {
-      begin(admitted);
+    mayStart = mayStart();
+    if (!mayStart || admission.unrestricted(admissionRequest(), now())) {
+      proceed(admitted);
     } else if (!attributes.budgeted()) {
-      decide(admitted, refused);
+      requestAdmission(admitted, refused);
     } else if (!context.storeHealth().reachable()) {
-      begin(admitted);
+      proceed(admitted);
     } else {
-      context.budgets().findStarted(program, begun -> onFound(begun, admitted, refused));
+      context.budgets().findStarted(program, started -> onFound(started, admitted, refused));
     }
   }
 
-  private void noteToolUse() {
-    if (line != null) {
-      admission.toolUsed(line, service);
+  private void recordToolCall() {
+    if (conversation != null) {
+      admission.toolCalled(conversation, service);
     }
   }
 
-  /** Whether the program may be a new one, as far as is known here. */
-  private boolean mayOpen() {
-    if (!attributes.firstLine() || attributes.previousTurn() != null || admission.served(line)) {
+  /** Whether the program may be a new one, by this node's records. */
+  private boolean mayStart() {
+    if (!attributes.firstConversation()
+        || attributes.previousTurn() != null
+        || admission.servedRecently(conversation)) {
       return false;
     }
-    return attributes.budgeted() ? !context.budgets().isKnown(program) : !promptSeen();
+    return attributes.budgeted() ? !context.budgets().isKnown(program) : !promptSentBefore();
   }
 
-  /** Whether an engine was sent a prompt with the same last part, which grows with the program. */
-  private boolean promptSeen() {
+  /**
+   * Whether this node has sent an engine a prompt with the same last part, which grows with the
+   * program.
+   */
+  private boolean promptSentBefore() {
     for (Engine engine : context.state().engines(service)) {
       if (engine.cachedPrefixes().containsOwnPart(attributes.prompt())) {
         return true;
@@ -90,62 +97,66 @@
     return false;
   }
 
-  private void onFound(Started begun, Runnable admitted, Consumer<Refusal> refused) {
+  private void onFound(Started started, Runnable admitted, Consumer<Refusal> refused) {
     if (closed) {
       return;
     }
-    if (begun == Started.NO) {
-      decide(admitted, refused);
+    if (started == Started.NO) {
+      requestAdmission(admitted, refused);
     } else {
-      begunElsewhere = begun == Started.YES;
-      begin(admitted);
+      startedElsewhere = started == Started.YES;
+      proceed(admitted);
     }
   }
 
-  private void decide(Runnable admitted, Consumer<Refusal> refused) {
-    AdmissionDecision judgement =
-        admission.decide(opening(), attributes.requestId(), attributes.programId(), now());
-    if (judgement.admitted()) {
-      begin(admitted);
+  private void requestAdmission(Runnable admitted, Consumer<Refusal> refused) {
+    AdmissionDecision decision =
+        admission.decide(admissionRequest(), attributes.requestId(), attributes.programId(), now());
+    if (decision.admitted()) {
+      proceed(admitted);
     } else {
-      context.metrics().admissionDecided(judgement.cause().name().toLowerCase(Locale.ROOT));
+      context.metrics().admissionDecided(decision.cause().name().toLowerCase(Locale.ROOT));
       refused.accept(
-          new Refusal(ErrorKind.OVERLOADED, judgement.retryMillis(), judgement.cause().phrase()));
+          new Refusal(
+              ErrorKind.OVERLOADED, decision.retryMillis(), decision.cause().description()));
     }
   }
 
-  private void begin(Runnable admitted) {
-    if (attributes.firstLine()) {
-      turnBegan = true;
-      admission.turnBegan(route.name(), line, now());
+  private void proceed(Runnable admitted) {
+    if (attributes.firstConversation()) {
+      turnStarted = true;
+      admission.turnStarted(route.name(), conversation, now());
     }
-    if (mayOpen && !attributes.budgeted()) {
-      opened();
+    if (mayStart && !attributes.budgeted()) {
+      recordStart();
     }
     admitted.run();
   }
 
-  /** The program turned out to be a new one. */
-  void opened() {
+  /** Records that the program is a new one. */
+  void recordStart() {
     context.metrics().admissionDecided("admitted");
-    admission.programOpened(route.name(), attributes.finishMillis(), now());
+    admission.programStarted(route.name(), attributes.finishMillis(), now());
   }
 
-  /** Whether the program is known to have begun, though this process serves its first turn. */
-  boolean begunElsewhere() {
-    return begunElsewhere;
+  /**
+   * Whether the program is known to have started at another node, though this is its first turn
+   * here.
+   */
+  boolean startedElsewhere() {
+    return startedElsewhere;
   }
 
-  /** The call is over. */
+  /** Ends the call. */
   void close() {
     closed = true;
-    if (turnBegan) {
-      turnBegan = false;
-      admission.turnEnded(line, now());
+    if (turnStarted) {
+      turnStarted = false;
+      admission.turnEnded(conversation, now());
     }
   }
 
-  private AdmissionRequest opening() {
+  private AdmissionRequest admissionRequest() {
     return new AdmissionRequest(
         route.name(),
         call.caller().priority(route.priority()),
@@ -153,7 +164,7 @@
         service,
         route.targetLatencyMillis(),
         attributes.finishMillis(),
-        call.use());
+        call.limitUse());
   }
 
   private long now() {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ResponseRelay.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ResponseRelay.java
@@ -6,9 +6,9 @@
 import org.baykeel.gateway.buffering.ResponseSource;
 
 /**
- * Passes a stream on to the caller, across the engines that produce it. Events are held back until
- * their tokens are granted; an event that the caller already has is dropped. While much is held for
- * the caller, the engine is not read.
+ * Passes a stream on to the caller, also when several engines produce it one after the other.
+ * Events are held until their tokens are granted; an event that the caller already has is dropped.
+ * While too many bytes are held for the caller, the engine is not read.
  */
 final class ResponseRelay implements ResponseSource {
   private final CallResponder responder;
@@ -16,16 +16,16 @@
   private final List<StreamEvent> held = new ArrayList<>();
   private ResponseSource source = ResponseSource.NONE;
   private ResponseHead head;
-  private boolean open;
-  private boolean begun;
+  private boolean passing;
+  private boolean headSent;
   private long lastEventId;
-  private int eventsPassed;
+  private int eventsSent;
 
   /**
    * Creates a relay.
    *
    * @param lastEventId the last event that the caller has; {@link CallAttributes#ABSENT} if none
-   * @param collectOutput whether the data of the events is to be kept
+   * @param collectOutput whether to collect the data of the events for storage
    */
   ResponseRelay(CallResponder responder, long lastEventId, boolean collectOutput) {
     this.responder = responder;
@@ -33,9 +33,9 @@
     this.output = collectOutput ? new ByteArrayOutputStream() : null;
   }
 
-  /** Sets which engine brings the answer from now on. */
-  void readsFrom(ResponseSource engine) {
-    source = engine;
+  /** Sets the source of the response from now on. */
+  void readFrom(ResponseSource newSource) {
+    source = newSource;
     responder.flow().setSource(this);
   }
 
@@ -49,46 +49,49 @@
     source.resume();
   }
 
-  /** Takes the head of an engine's answer; that of the first engine is the caller's. */
-  void head(ResponseHead newHead) {
-    if (!begun) {
+  /**
+   * Takes the head of an engine's response; the caller gets the latest one that arrived before the
+   * first event was passed on.
+   */
+  void setHead(ResponseHead newHead) {
+    if (!headSent) {
       head = newHead;
     }
   }
 
-  /** Lets events through from now on. Returns how many that were held went to the caller. */
-  int open() {
-    open = true;
-    int before = eventsPassed;
-    List<StreamEvent> granted = List.copyOf(held);
+  /** Passes held events and all later ones on. Returns how many held events went to the caller. */
+  int passOn() {
+    passing = true;
+    int before = eventsSent;
+    List<StreamEvent> toSend = List.copyOf(held);
     held.clear();
-    for (StreamEvent event : granted) {
-      pass(event);
+    for (StreamEvent event : toSend) {
+      send(event);
       responder.flow().release(event.bytes().length);
     }
-    return eventsPassed - before;
+    return eventsSent - before;
   }
 
   /** Takes an event. Returns whether it went to the caller. */
-  boolean event(StreamEvent event) {
+  boolean addEvent(StreamEvent event) {
     if (event.id() != CallAttributes.ABSENT && event.id() <= lastEventId) {
       return false;
     }
     if (event.id() != CallAttributes.ABSENT) {
       lastEventId = event.id();
     }
-    if (!open) {
+    if (!passing) {
       held.add(event);
       responder.flow().hold(event.bytes().length);
       return false;
     }
-    pass(event);
+    send(event);
     return true;
   }
 
-  private void pass(StreamEvent event) {
-    begin();
-    eventsPassed++;
+  private void send(StreamEvent event) {
+    sendHead();
+    eventsSent++;
     if (output != null && event.data() != null) {
       output.writeBytes(event.data());
       output.write('\n');
@@ -96,29 +99,29 @@
     responder.sendEvent(event.bytes());
   }
 
-  private void begin() {
-    if (!begun) {
-      begun = true;
+  private void sendHead() {
+    if (!headSent) {
+      headSent = true;
       responder.startStream(head);
     }
   }
 
-  void end() {
-    begin();
+  void endStream() {
+    sendHead();
     responder.endStream();
   }
 
-  void abort() {
+  void abortStream() {
     responder.abortStream();
   }
 
-  /** Whether the caller has the head. */
-  boolean begun() {
-    return begun;
+  /** Whether the caller has got the head. */
+  boolean headSent() {
+    return headSent;
   }
 
-  /** Whether events wait for their grant. */
-  boolean holding() {
+  /** Whether events are held until their tokens are granted. */
+  boolean hasHeldEvents() {
     return !held.isEmpty();
   }
 
@@ -127,12 +130,12 @@
     return lastEventId;
   }
 
-  int eventsPassed() {
-    return eventsPassed;
+  int eventsSent() {
+    return eventsSent;
   }
 
   /**
-   * Ends the relay; events that wait for their grant are dropped.
+   * Ends the relay; events still held are dropped.
    *
    * @return how many events went to the caller
    */
@@ -140,7 +143,7 @@
     held.forEach(event -> responder.flow().release(event.bytes().length));
     held.clear();
     responder.flow().setSource(NONE);
-    return eventsPassed;
+    return eventsSent;
   }
 
   /** The data of the events, a line feed after each. */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/SilenceWatch.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/SilenceWatch.java
@@ -4,22 +4,22 @@
 import org.baykeel.gateway.runtime.EventLoop;
 
 /**
- * Notices when the engine of a request that may be repeated has been silent for too long. Runs from
- * the first send to the end of the request, across engines.
+ * Detects that the engine of a repeatable request has been silent for too long. Runs from the first
+ * send to the end of the request, across engines.
  */
 final class SilenceWatch {
   private final EventLoop eventLoop;
   private final Route route;
   private final Runnable onSilence;
   private EventLoop.Timer timer;
-  private long lastHeardNanos;
+  private long lastReceivedNanos;
   private long firstEventNanos;
   private boolean paused;
 
   /**
-   * Creates a watch that has not begun.
+   * Creates a watch that has not started.
    *
-   * @param route tells how long an engine may be silent
+   * @param route determines how long an engine may be silent
    * @param onSilence runs each time the engine has been silent for that long
    */
   SilenceWatch(EventLoop eventLoop, Route route, Runnable onSilence) {
@@ -28,32 +28,32 @@
     this.onSilence = onSilence;
   }
 
-  /** The request was sent to an engine; begins the watch if it has not begun. */
+  /** Records that the request was sent to an engine; starts the watch if it has not started. */
   void sent() {
-    lastHeardNanos = eventLoop.nanoTime();
+    lastReceivedNanos = eventLoop.nanoTime();
     if (route.repeatable() && timer == null) {
       timer = eventLoop.schedule(allowedMillis(), this::check);
     }
   }
 
-  /** Something arrived from the engine. */
-  void heard() {
-    lastHeardNanos = eventLoop.nanoTime();
+  /** Records that data arrived from the engine. */
+  void dataReceived() {
+    lastReceivedNanos = eventLoop.nanoTime();
   }
 
-  /** The engine is not listened to from now on. */
+  /** Suspends the watch while the engine is not read. */
   void pause() {
     paused = true;
   }
 
-  /** The engine is listened to again. */
+  /** Resumes the watch: the engine is read again. */
   void resume() {
     paused = false;
-    heard();
+    dataReceived();
   }
 
-  /** An event arrived from the engine. */
-  void event() {
+  /** Records that an event arrived from the engine. */
+  void eventReceived() {
     if (firstEventNanos == 0) {
       firstEventNanos = eventLoop.nanoTime();
     }
@@ -77,7 +77,7 @@
 
   private void check() {
     timer = eventLoop.schedule(allowedMillis(), this::check);
-    if (!paused && eventLoop.nanoTime() - lastHeardNanos >= allowedMillis() * 1_000_000) {
+    if (!paused && eventLoop.nanoTime() - lastReceivedNanos >= allowedMillis() * 1_000_000) {
       onSilence.run();
     }
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnBudget.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnBudget.java
@@ -5,40 +5,42 @@
 import org.baykeel.gateway.budget.ReservationStatus;
 
 /**
- * Whether a turn may run at all, and the tokens that it may hand out. A turn without a budget has
- * as many tokens as it needs.
+ * Whether a turn may run, and the tokens that it may send to the caller. A turn without a budget
+ * has no limit of tokens.
  */
 final class TurnBudget {
   private final GatewayContext context;
   private final CallAttributes attributes;
   private final AuthorizedCall call;
-  private final ProgramStart opening;
+  private final ProgramStart programStart;
   private Reservation reservation;
   private boolean programKnown;
 
-  /** Creates a budget of which nothing is reserved. */
+  /** Creates a budget without a reservation. */
   TurnBudget(GatewayContext context, AuthorizedCall call) {
     this.context = context;
     this.call = call;
     this.attributes = call.attributes();
-    this.opening = new ProgramStart(context, call);
+    this.programStart = new ProgramStart(context, call);
   }
 
   /**
-   * Decides whether the call may go on: one that begins a program may be refused for want of room.
+   * Decides whether the call may proceed; one that starts a program may be refused for lack of
+   * capacity.
    *
-   * @param admitted runs if it may, unless the call is over by then
-   * @param refused takes what the caller is told if it may not
+   * @param admitted runs if it may, unless the call has ended by then
+   * @param refused receives the refusal if it may not
    */
   void admit(Runnable admitted, Consumer<Refusal> refused) {
-    opening.judge(admitted, refused);
+    programStart.decide(admitted, refused);
   }
 
   /**
-   * While the store is away, a turn runs and its events wait for the store; that is worth an
-   * engine's time only if engines have time to spare.
+   * Whether the call must be refused while the store is unreachable. A turn could run while its
+   * events wait for the store, but that use of an engine is justified only if engines have spare
+   * capacity.
    */
-  boolean mustNotWaitForStore() {
+  boolean mustRefuseWithoutStore() {
     return !context.storeHealth().reachable()
         && !context
             .admission()
@@ -47,7 +49,7 @@
   }
 
   /**
-   * Reserves the most that the turn may generate.
+   * Reserves the most tokens that the turn may generate.
    *
    * @param giveUpNanos when the store counts as unavailable
    * @param onDecided runs later if the decision is pending now
@@ -55,7 +57,7 @@
    */
   ReservationStatus reserve(long giveUpNanos, Runnable onDecided) {
     String program = call.caller().scoped(attributes.programId());
-    programKnown = context.budgets().isKnown(program) || opening.begunElsewhere();
+    programKnown = context.budgets().isKnown(program) || programStart.startedElsewhere();
     reservation =
         context
             .budgets()
@@ -64,44 +66,44 @@
                 attributes.tokenBudget(),
                 attributes.maxOutputTokens(),
                 giveUpNanos,
-                () -> onGrantDecided(onDecided));
+                () -> onStatusDecided(onDecided));
     return reservation.status();
   }
 
-  private void onGrantDecided(Runnable onDecided) {
-    if (!programKnown && attributes.firstLine() && reservation.programStartedHere()) {
-      opening.opened();
+  private void onStatusDecided(Runnable onDecided) {
+    if (!programKnown && attributes.firstConversation() && reservation.programStartedHere()) {
+      programStart.recordStart();
     }
     onDecided.run();
   }
 
-  /** The decision on its tokens. */
-  ReservationStatus grant() {
+  /** The decision on the turn's tokens. */
+  ReservationStatus status() {
     return reservation == null ? ReservationStatus.GRANTED : reservation.status();
   }
 
   /**
-   * Whether the turn may be sent now. While its tokens are undecided it may only if it will most
-   * likely get them. The first line of a program that is new here is most likely new altogether,
-   * and surely affordable then. Its sub-agents are not: a program that loops starts one after the
-   * other.
+   * Whether the turn may be sent now. While the decision on its tokens is pending, it may only be
+   * sent if they will most likely be granted. A turn in the first conversation of a program that
+   * this node has no record of most likely starts the program, whose budget then suffices. A turn
+   * of a sub-agent does not: a program in a loop starts one sub-agent after the other.
    */
-  boolean allowsSending() {
-    boolean likelyNew = !programKnown && attributes.firstLine();
+  boolean maySend() {
+    boolean likelyNew = !programKnown && attributes.firstConversation();
     boolean likelyGranted = likelyNew || !context.storeHealth().reachable();
-    return grant() != ReservationStatus.PENDING || likelyGranted;
+    return status() != ReservationStatus.PENDING || likelyGranted;
   }
 
-  /** Notes tokens that were handed to the caller. */
-  void used(int tokens) {
+  /** Records tokens that were sent to the caller. */
+  void recordUse(int tokens) {
     if (reservation != null) {
       reservation.use(tokens);
     }
   }
 
-  /** The turn is over. */
+  /** Ends the turn. */
   void close() {
-    opening.close();
+    programStart.close();
     if (reservation != null) {
       reservation.close();
     }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestRoomOfTools.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/call/TestToolCallsUnderLoad.java
@@ -40,22 +40,24 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tool calls that may run only once, from twenty nodes, at engines with few places: ordinary demand
- * for half of the room, three times that for eight seconds, and a third of the engines gone in the
- * middle of it for two.
+ * Tool calls that may run only once, from twenty nodes, at engines with few slots. Ordinary demand
+ * is 35 % of the capacity; it rises to three times that for eight seconds, and in the middle of
+ * these a third of the engines drain for two seconds. Such a call is lost if a node refuses it
+ * although a slot becomes free in time, or sends it to full engines again and again until its
+ * deadline.
  */
-class TestRoomOfTools {
+class TestToolCallsUnderLoad {
   private static final int NODES = 20;
   private static final int ENGINES = 12;
   private static final int SLOTS = 6;
   private static final int QUEUE = 2;
 
   /** Engines that a call is sent to one after the other. */
-  private static final int ROUND = 6;
+  private static final int MAX_SENDS_PER_ROUND = 6;
 
   private static final long WORK_MILLIS = 50;
-  private static final long PATIENCE_MILLIS = 2_000;
-  private static final double ROOM_PER_MILLI = (double) ENGINES * SLOTS / WORK_MILLIS;
+  private static final long TIMEOUT_MILLIS = 2_000;
+  private static final double CAPACITY_PER_MILLI = (double) ENGINES * SLOTS / WORK_MILLIS;
 
   private final TestingEventLoop eventLoop = new TestingEventLoop();
   private final TestingStore store = new TestingStore(eventLoop);
@@ -64,11 +66,11 @@
   private final List<CallCoordinator> nodes = new ArrayList<>();
   private final Random random = new Random(5);
 
-  /** Engines that turn away what they have no place for, and count that. */
+  /** Engines that refuse requests for which they have no slot, and count these refusals. */
   private final class ToolEngines implements EngineTransport {
     private final Map<String, Integer> requests = new HashMap<>();
     private final Map<String, Long> freeAtMillis = new HashMap<>();
-    private int turnedAway;
+    private int refused;
 
     @Override
     public Exchange send(Engine engine, EngineRequest request, Listener listener) {
@@ -88,14 +90,14 @@
     private void arrive(String id, Listener listener) {
       int present = requests.getOrDefault(id, 0);
       if (present >= SLOTS + QUEUE) {
-        turnedAway++;
+        refused++;
         listener.onHead(head(503));
         return;
       }
       requests.merge(id, 1, Integer::sum);
       long now = eventLoop.nanoTime() / 1_000_000;
-      long place = WORK_MILLIS / SLOTS;
-      long ends = Math.max(now + WORK_MILLIS, freeAtMillis.getOrDefault(id, 0L) + place);
+      long millisPerSlot = WORK_MILLIS / SLOTS;
+      long ends = Math.max(now + WORK_MILLIS, freeAtMillis.getOrDefault(id, 0L) + millisPerSlot);
       freeAtMillis.put(id, ends);
       eventLoop.schedule(ends - now, () -> end(id, listener));
     }
@@ -156,7 +158,7 @@
         "h",
         "/t/",
         RouteKind.UNSAFE,
-        PATIENCE_MILLIS,
+        TIMEOUT_MILLIS,
         200,
         300,
         1,
@@ -174,7 +176,7 @@
     CallAttributes attributes =
         new CallAttributes(
             "r" + number,
-            PATIENCE_MILLIS,
+            TIMEOUT_MILLIS,
             500 + random.nextInt(2_500),
             "p" + number,
             null,
@@ -199,7 +201,7 @@
     return responder;
   }
 
-  private void draining(boolean draining) {
+  private void setDraining(boolean draining) {
     for (EngineDirectory directory : directories) {
       for (int i = 0; i < ENGINES / 3; i++) {
         directory.put(engine(i, draining));
@@ -208,25 +210,26 @@
   }
 
   @Test
-  void noCallThatMayRunOnlyOnceIsLostWhilePlacesComeFreeWithinItsTime() {
+  void noCallThatMayRunOnlyOnceIsLostWhileSlotsBecomeFreeInTime() {
     for (int i = 0; i < NODES; i++) {
       nodes.add(node(i));
     }
     List<TestingResponder> callers = new ArrayList<>();
-    double due = 0;
+    double dueCalls = 0;
     for (int millis = 0; millis < 16_000; millis++) {
       boolean burst = millis >= 2_000 && millis < 10_000;
-      for (due += ROOM_PER_MILLI * (burst ? 1.05 : 0.35); due >= 1; due--) {
+      for (dueCalls += CAPACITY_PER_MILLI * (burst ? 1.05 : 0.35); dueCalls >= 1; dueCalls--) {
         callers.add(call(callers.size()));
       }
       if (millis == 5_000 || millis == 7_000) {
-        draining(millis == 5_000);
+        setDraining(millis == 5_000);
       }
       eventLoop.advance(1);
     }
-    eventLoop.advance(PATIENCE_MILLIS);
+    eventLoop.advance(TIMEOUT_MILLIS);
     long lost = callers.stream().filter(caller -> caller.refusal() != null).count();
     assertEquals(0, lost, "of " + callers.size());
-    assertTrue(engines.turnedAway < callers.size() * ROUND, engines.turnedAway + " turned away");
+    assertTrue(
+        engines.refused < callers.size() * MAX_SENDS_PER_ROUND, engines.refused + " refusals");
   }
 }
