--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/DirectPathHealth.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/DirectPathHealth.java
@@ -17,23 +17,23 @@
    * of its partitions away and no such rule, 67 nodes lost and regained the way some 350 times each
    * half second.
    */
-  private static final long ANSWERED_LATELY_NANOS = 250_000_000L;
+  private static final long PARTIAL_OUTAGE_NANOS = 250_000_000L;
 
-  private static final double FIRST_GUESS_MILLIS = 25;
+  private static final double INITIAL_AVERAGE_MILLIS = 25;
   private static final long MIN_OVERDUE_MILLIS = 80;
 
-  private double usualMillis = FIRST_GUESS_MILLIS;
+  private double averageMillis = INITIAL_AVERAGE_MILLIS;
   private int consecutiveFailures;
   private boolean broken;
   private boolean everAnswered;
-  private long answeredNanos;
+  private long lastAnswerNanos;
 
   /** Notes an answer of a call that may have waited for something to tell. */
   void answered(long nowNanos) {
     consecutiveFailures = 0;
     broken = false;
     everAnswered = true;
-    answeredNanos = nowNanos;
+    lastAnswerNanos = nowNanos;
   }
 
   /**
@@ -42,15 +42,15 @@
    * @param millis the time that it took
    */
   void answered(double millis, long nowNanos) {
-    usualMillis += SMOOTHING * (millis - usualMillis);
+    averageMillis += SMOOTHING * (millis - averageMillis);
     answered(nowNanos);
   }
 
   /** Notes a call that was not answered, or turned away. */
   void failed(long nowNanos) {
     consecutiveFailures++;
-    boolean answeredLately = everAnswered && nowNanos - answeredNanos < ANSWERED_LATELY_NANOS;
-    broken = broken || consecutiveFailures >= FAILURES_UNTIL_BROKEN && !answeredLately;
+    boolean partialOutage = everAnswered && nowNanos - lastAnswerNanos < PARTIAL_OUTAGE_NANOS;
+    broken = broken || consecutiveFailures >= FAILURES_UNTIL_BROKEN && !partialOutage;
   }
 
   /** Whether calls are expected to be answered. */
@@ -60,6 +60,6 @@
 
   /** The time after which an answer that has not come is overdue, in milliseconds. */
   long overdueMillis() {
-    return Math.max(MIN_OVERDUE_MILLIS, Math.round(usualMillis * OVERDUE_FACTOR));
+    return Math.max(MIN_OVERDUE_MILLIS, Math.round(averageMillis * OVERDUE_FACTOR));
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/FailoverStoreClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/FailoverStoreClient.java
@@ -21,19 +21,19 @@
   private static final int MAX_RELAYS = 2;
 
   /** Between two reads that find out whether the direct way works again. */
-  private static final long PROBE_MILLIS = 250;
+  private static final long PROBE_INTERVAL_MILLIS = 250;
 
   /** A relayed call takes two ways; it is overdue later than a direct one. */
   private static final int RELAY_OVERDUE_FACTOR = 2;
 
   private final StoreClient direct;
   private final RelayTransport relays;
-  private final RelaySelector relayPeers;
+  private final RelaySelector relaySelector;
   private final StoreCall probe;
   private final EventLoop eventLoop;
   private final GatewayLog log;
   private final DirectPathHealth directPath = new DirectPathHealth();
-  private Runnable onDirectPathBack = () -> {};
+  private Runnable onDirectPathRestored = () -> {};
   private boolean probing;
 
   /**
@@ -55,57 +55,57 @@
       GatewayLog log) {
     this.direct = direct;
     this.relays = relays;
-    this.relayPeers = new RelaySelector(candidates, random);
+    this.relaySelector = new RelaySelector(candidates, random);
     this.probe = probe;
     this.eventLoop = eventLoop;
     this.log = log;
   }
 
   /** Sets what runs each time after the direct way works again. */
-  public void onDirectPathBack(Runnable action) {
-    onDirectPathBack = action;
+  public void onDirectPathRestored(Runnable action) {
+    onDirectPathRestored = action;
   }
 
   @Override
-  public void call(StoreCall call, Consumer<StoreReply> answer) {
-    new PendingCall(call, answer).start();
+  public void call(StoreCall call, Consumer<StoreReply> callback) {
+    new PendingCall(call, callback).start();
   }
 
   /**
    * Makes a call of another node, by the direct way only, so that calls don't wander between nodes.
    */
-  public void callDirectly(StoreCall call, Consumer<StoreReply> answer) {
+  public void callDirectly(StoreCall call, Consumer<StoreReply> callback) {
     if (!directPath.working()) {
-      answer.accept(new StoreReply.NotSent("no way to the store"));
+      callback.accept(new StoreReply.NotSent("no way to the store"));
       return;
     }
     long sentNanos = eventLoop.nanoTime();
     direct.call(
         call,
         reply -> {
-          noteDirect(call, reply, sentNanos);
-          answer.accept(reply);
+          recordDirectReply(call, reply, sentNanos);
+          callback.accept(reply);
         });
   }
 
   /** Returns whether the reply is an answer that counts. */
-  private boolean noteDirect(StoreCall call, StoreReply reply, long sentNanos) {
-    if (!served(reply)) {
-      if (!endedEarly(call, reply, sentNanos)) {
+  private boolean recordDirectReply(StoreCall call, StoreReply reply, long sentNanos) {
+    if (!executed(reply)) {
+      if (!longPollEndedEarly(call, reply, sentNanos)) {
         directFailed(reply);
       }
       return false;
     }
-    boolean worked = directPath.working();
+    boolean wasWorking = directPath.working();
     if (call.longPoll()) {
       directPath.answered(eventLoop.nanoTime());
     } else {
       long now = eventLoop.nanoTime();
       directPath.answered((now - sentNanos) / 1e6, now);
     }
-    if (!worked) {
+    if (!wasWorking) {
       log.write(GatewayEvent.STORE_PATH_CHANGED, "path", "direct");
-      onDirectPathBack.run();
+      onDirectPathRestored.run();
     }
     return true;
   }
@@ -114,15 +114,15 @@
    * Whether the service cut a long poll before its time, as it does when it forgets what the poll
    * asked for. That says nothing of the next call.
    */
-  private boolean endedEarly(StoreCall call, StoreReply reply, long sentNanos) {
+  private boolean longPollEndedEarly(StoreCall call, StoreReply reply, long sentNanos) {
     long millis = (eventLoop.nanoTime() - sentNanos) / 1_000_000;
     return call.longPoll() && reply instanceof StoreReply.Lost && millis < call.timeoutMillis();
   }
 
   private void directFailed(Object reason) {
-    boolean worked = directPath.working();
+    boolean wasWorking = directPath.working();
     directPath.failed(eventLoop.nanoTime());
-    if (worked && !directPath.working()) {
+    if (wasWorking && !directPath.working()) {
       log.write(GatewayEvent.STORE_PATH_CHANGED, "path", "relayed", "reason", reason);
     }
     if (!directPath.working() && !probing) {
@@ -137,27 +137,27 @@
       return;
     }
     long sentNanos = eventLoop.nanoTime();
-    direct.call(probe, reply -> noteDirect(probe, reply, sentNanos));
-    eventLoop.schedule(PROBE_MILLIS, this::probe);
+    direct.call(probe, reply -> recordDirectReply(probe, reply, sentNanos));
+    eventLoop.schedule(PROBE_INTERVAL_MILLIS, this::probe);
   }
 
-  private static boolean served(StoreReply reply) {
-    return reply instanceof StoreReply.Answered answered && !answered.turnedAway();
+  private static boolean executed(StoreReply reply) {
+    return reply instanceof StoreReply.Answered answered && !answered.refused();
   }
 
   /** One call on its way, possibly by more than one way at once. */
   private final class PendingCall {
     private final StoreCall call;
-    private final Consumer<StoreReply> answer;
-    private final List<PeerAddress> asked = new ArrayList<>();
+    private final Consumer<StoreReply> callback;
+    private final List<PeerAddress> triedRelays = new ArrayList<>();
     private boolean done;
     private boolean directOutstanding;
     private int outstanding;
-    private StoreReply worst = new StoreReply.NotSent("no way to the store");
+    private StoreReply failure = new StoreReply.NotSent("no way to the store");
 
-    PendingCall(StoreCall call, Consumer<StoreReply> answer) {
+    PendingCall(StoreCall call, Consumer<StoreReply> callback) {
       this.call = call;
-      this.answer = answer;
+      this.callback = callback;
     }
 
     void start() {
@@ -165,7 +165,7 @@
         sendDirectly();
       } else if (!relay()) {
         // The caller may not be answered before this call returns.
-        eventLoop.schedule(0, () -> finish(worst));
+        eventLoop.schedule(0, () -> finish(failure));
       }
     }
 
@@ -180,30 +180,30 @@
     private void onDirectReply(StoreReply reply, long sentNanos) {
       directOutstanding = false;
       outstanding--;
-      if (noteDirect(call, reply, sentNanos)) {
+      if (recordDirectReply(call, reply, sentNanos)) {
         finish(reply);
         return;
       }
-      boolean turnedAwayOnce = reply instanceof StoreReply.Answered && directPath.working();
-      if (!done && asked.isEmpty() && !turnedAwayOnce) {
+      boolean refusedOnce = reply instanceof StoreReply.Answered && directPath.working();
+      if (!done && triedRelays.isEmpty() && !refusedOnce) {
         relay();
       }
-      wayFailed(reply);
+      onPathFailed(reply);
     }
 
     private void onOverdue() {
-      if (!done && asked.size() < MAX_RELAYS) {
+      if (!done && triedRelays.size() < MAX_RELAYS) {
         relay();
       }
     }
 
     /** Sends the call through another node; returns false if there is none to ask. */
     private boolean relay() {
-      PeerAddress peer = relayPeers.next(asked, eventLoop.nanoTime());
+      PeerAddress peer = relaySelector.next(triedRelays, eventLoop.nanoTime());
       if (peer == null) {
         return false;
       }
-      asked.add(peer);
+      triedRelays.add(peer);
       outstanding++;
       relays.call(peer, call, reply -> onRelayReply(peer, reply));
       long overdueMillis = directPath.overdueMillis() * RELAY_OVERDUE_FACTOR;
@@ -213,34 +213,34 @@
 
     private void onRelayReply(PeerAddress peer, StoreReply reply) {
       outstanding--;
-      if (!served(reply)) {
-        relayPeers.failed(peer, eventLoop.nanoTime());
-        if (!done && asked.size() < MAX_RELAYS) {
+      if (!executed(reply)) {
+        relaySelector.failed(peer, eventLoop.nanoTime());
+        if (!done && triedRelays.size() < MAX_RELAYS) {
           relay();
         }
-        wayFailed(reply);
+        onPathFailed(reply);
         return;
       }
-      relayPeers.answered(peer);
+      relaySelector.answered(peer);
       if (directOutstanding && !done) {
         directFailed("a relay answered first");
       }
       finish(reply);
     }
 
-    private void wayFailed(StoreReply reply) {
-      if (!(worst instanceof StoreReply.Lost)) {
-        worst = reply;
+    private void onPathFailed(StoreReply reply) {
+      if (!(failure instanceof StoreReply.Lost)) {
+        failure = reply;
       }
       if (outstanding == 0) {
-        finish(worst);
+        finish(failure);
       }
     }
 
     private void finish(StoreReply reply) {
       if (!done) {
         done = true;
-        answer.accept(reply);
+        callback.accept(reply);
       }
     }
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RegionalRelayCandidates.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RegionalRelayCandidates.java
@@ -28,14 +28,14 @@
   }
 
   @Override
-  public Collection<PeerAddress> near() {
+  public Collection<PeerAddress> sameRegion() {
     return peers.get().peersInRegion();
   }
 
   @Override
-  public Collection<PeerAddress> far() {
+  public Collection<PeerAddress> otherRegions() {
     GatewayConfiguration inForce = configuration.get();
-    boolean free = inForce != null && !inForce.boundToRegions();
-    return free ? peers.get().peers() : List.of();
+    boolean unbound = inForce != null && !inForce.boundToRegions();
+    return unbound ? peers.get().peers() : List.of();
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RelaySelector.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RelaySelector.java
@@ -17,38 +17,38 @@
 
   private static final long PAUSE_NANOS = 1_000_000_000L;
 
-  private final RelayCandidates known;
+  private final RelayCandidates candidates;
   private final RandomGenerator random;
   private PeerAddress current;
   private int consecutiveFailures;
   private long pausedUntilNanos;
 
-  RelaySelector(RelayCandidates known, RandomGenerator random) {
-    this.known = known;
+  RelaySelector(RelayCandidates candidates, RandomGenerator random) {
+    this.candidates = candidates;
     this.random = random;
   }
 
   /**
    * A node to ask.
    *
-   * @param asked nodes that had the call already
+   * @param tried nodes that had the call already
    * @return a node, or null if none is to be asked now
    */
-  PeerAddress next(Collection<PeerAddress> asked, long nowNanos) {
+  PeerAddress next(Collection<PeerAddress> tried, long nowNanos) {
     if (paused(nowNanos)) {
       return null;
     }
-    if (current != null && !asked.contains(current)) {
+    if (current != null && !tried.contains(current)) {
       return current;
     }
-    PeerAddress near = anyOf(known.near(), asked);
-    return near != null ? near : anyOf(known.far(), asked);
+    PeerAddress sameRegion = randomUntried(candidates.sameRegion(), tried);
+    return sameRegion != null ? sameRegion : randomUntried(candidates.otherRegions(), tried);
   }
 
-  private PeerAddress anyOf(Collection<PeerAddress> nodes, Collection<PeerAddress> asked) {
-    List<PeerAddress> candidates = new ArrayList<>(nodes);
-    candidates.removeAll(asked);
-    return candidates.isEmpty() ? null : candidates.get(random.nextInt(candidates.size()));
+  private PeerAddress randomUntried(Collection<PeerAddress> nodes, Collection<PeerAddress> tried) {
+    List<PeerAddress> untried = new ArrayList<>(nodes);
+    untried.removeAll(tried);
+    return untried.isEmpty() ? null : untried.get(random.nextInt(untried.size()));
   }
 
   private boolean paused(long nowNanos) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RelayTransport.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RelayTransport.java
@@ -12,7 +12,7 @@
    *
    * @param peer the node
    * @param call the call
-   * @param answer takes its outcome, exactly once, on the event loop
+   * @param callback takes its outcome, exactly once, on the event loop
    */
-  void call(PeerAddress peer, StoreCall call, Consumer<StoreReply> answer);
+  void call(PeerAddress peer, StoreCall call, Consumer<StoreReply> callback);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/StoreClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/StoreClient.java
@@ -10,7 +10,7 @@
    * Makes a call.
    *
    * @param call the call
-   * @param answer takes its outcome, exactly once, on the event loop
+   * @param callback takes its outcome, exactly once, on the event loop
    */
-  void call(StoreCall call, Consumer<StoreReply> answer);
+  void call(StoreCall call, Consumer<StoreReply> callback);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/StoreReply.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/StoreReply.java
@@ -15,7 +15,7 @@
     private static final int UNAVAILABLE = 503;
 
     /** Whether the service turned the call away without doing anything. */
-    public boolean turnedAway() {
+    public boolean refused() {
       return status == TOO_MANY_REQUESTS || status == UNAVAILABLE;
     }
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/CountingStore.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/CountingStore.java
@@ -49,9 +49,9 @@
   }
 
   @Override
-  public void transact(Transaction transaction, Consumer<TransactionOutcome> answer) {
+  public void transact(Transaction transaction, Consumer<TransactionOutcome> callback) {
     metrics.storeCalled(Kind.of(transaction).label(table(transaction)));
-    store.transact(transaction, answer);
+    store.transact(transaction, callback);
   }
 
   private static String table(Transaction transaction) {
@@ -67,14 +67,15 @@
   }
 
   @Override
-  public void read(RangeRead read, Consumer<ReadOutcome> answer) {
+  public void read(RangeRead read, Consumer<ReadOutcome> callback) {
     metrics.storeCalled(Kind.READ.label(read.table()));
-    store.read(read, answer);
+    store.read(read, callback);
   }
 
   @Override
-  public void watch(String table, long afterVersion, int waitMillis, Consumer<ReadOutcome> answer) {
+  public void watch(
+      String table, long afterVersion, int waitMillis, Consumer<ReadOutcome> callback) {
     metrics.storeCalled(Kind.WATCH.label(table));
-    store.watch(table, afterVersion, waitMillis, answer);
+    store.watch(table, afterVersion, waitMillis, callback);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/DurableStore.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/DurableStore.java
@@ -9,10 +9,10 @@
 public interface DurableStore {
 
   /** Applies a transaction. */
-  void transact(Transaction transaction, Consumer<TransactionOutcome> answer);
+  void transact(Transaction transaction, Consumer<TransactionOutcome> callback);
 
   /** Reads rows as of one moment. */
-  void read(RangeRead read, Consumer<ReadOutcome> answer);
+  void read(RangeRead read, Consumer<ReadOutcome> callback);
 
   /**
    * Waits for changes of a table.
@@ -20,5 +20,5 @@
    * @param afterVersion only changes later than this
    * @param waitMillis how long the store may wait for the first change
    */
-  void watch(String table, long afterVersion, int waitMillis, Consumer<ReadOutcome> answer);
+  void watch(String table, long afterVersion, int waitMillis, Consumer<ReadOutcome> callback);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/StoreHealth.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/StoreHealth.java
@@ -12,7 +12,7 @@
    * While something was answered so lately the store counts as reachable, whatever failed since: it
    * may be away in part.
    */
-  private static final long ANSWERED_LATELY_NANOS = 250_000_000L;
+  private static final long PARTIAL_OUTAGE_NANOS = 250_000_000L;
 
   private int consecutiveFailures;
   private boolean unreachable;
@@ -32,9 +32,9 @@
   /** Notes a refusal or a missing answer. */
   public void failed(long nowNanos) {
     consecutiveFailures++;
-    boolean answeredLately = nanosSinceAnswer(nowNanos) < ANSWERED_LATELY_NANOS;
+    boolean partialOutage = nanosSinceAnswer(nowNanos) < PARTIAL_OUTAGE_NANOS;
     unreachable =
-        unreachable || consecutiveFailures >= FAILURES_UNTIL_UNREACHABLE && !answeredLately;
+        unreachable || consecutiveFailures >= FAILURES_UNTIL_UNREACHABLE && !partialOutage;
     lastFailureNanos = nowNanos;
     failed = true;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/TableWatcher.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/TableWatcher.java
@@ -12,10 +12,10 @@
 public final class TableWatcher {
   private static final int PAGE_ROWS = 500;
   private static final long FIRST_RETRY_MILLIS = 50;
-  private static final long LONGEST_RETRY_MILLIS = 400;
+  private static final long MAX_RETRY_MILLIS = 400;
 
   /** The store tells at once what it has. */
-  private static final int CHECK_WAIT_MILLIS = 1;
+  private static final int IMMEDIATE_WAIT_MILLIS = 1;
 
   /** What a watcher does after a question to the feed has failed. */
   public enum Recovery {
@@ -56,10 +56,10 @@
   private long knownVersion;
   private long firstPageVersion;
   private boolean hasSnapshot;
-  private boolean checking;
+  private boolean polling;
 
   /** Whether changes may have been missed since the feed was followed without a failure. */
-  private boolean gap;
+  private boolean changesMayBeMissed;
 
   private long retryMillis = FIRST_RETRY_MILLIS;
 
@@ -125,7 +125,7 @@
     retryMillis = FIRST_RETRY_MILLIS;
     knownVersion = Math.max(knownVersion, firstPageVersion);
     hasSnapshot = true;
-    gap = false;
+    changesMayBeMissed = false;
     listener.onSnapshot(List.copyOf(pages));
     pages.clear();
     follow();
@@ -136,43 +136,43 @@
    * while such a question is under way or the table has not been read.
    */
   public void poll() {
-    if (checking || !hasSnapshot || gap) {
+    if (polling || !hasSnapshot || changesMayBeMissed) {
       return;
     }
-    checking = true;
-    store.watch(table, knownVersion, CHECK_WAIT_MILLIS, this::onCheck);
+    polling = true;
+    store.watch(table, knownVersion, IMMEDIATE_WAIT_MILLIS, this::onPollOutcome);
   }
 
-  private void onCheck(ReadOutcome outcome) {
-    checking = false;
+  private void onPollOutcome(ReadOutcome outcome) {
+    polling = false;
     if (outcome instanceof ReadOutcome.Rows changes) {
-      adopt(changes);
+      deliver(changes);
     }
   }
 
   private void follow() {
-    store.watch(table, knownVersion, waitMillis, this::onFeed);
+    store.watch(table, knownVersion, waitMillis, this::onFeedOutcome);
   }
 
   /** After a failure the first answer is to come soon, whether or not there are changes. */
-  private void followAgain() {
-    store.watch(table, knownVersion, CHECK_WAIT_MILLIS, this::onFeed);
+  private void resumeAfterFailure() {
+    store.watch(table, knownVersion, IMMEDIATE_WAIT_MILLIS, this::onFeedOutcome);
   }
 
-  private void adopt(ReadOutcome.Rows changes) {
+  private void deliver(ReadOutcome.Rows changes) {
     knownVersion = Math.max(knownVersion, changes.version());
     if (!changes.rows().isEmpty()) {
       listener.onChanges(changes.rows());
     }
-    if (!changes.more() && !gap) {
+    if (!changes.more() && !changesMayBeMissed) {
       listener.onCaughtUp(changes.asOfNanos());
     }
   }
 
-  private void onFeed(ReadOutcome outcome) {
+  private void onFeedOutcome(ReadOutcome outcome) {
     if (outcome instanceof ReadOutcome.Rows changes) {
       retryMillis = FIRST_RETRY_MILLIS;
-      adopt(changes);
+      deliver(changes);
       if (changes.rows().isEmpty() || pauseMillis == 0) {
         follow();
       } else {
@@ -181,13 +181,13 @@
     } else if (outcome instanceof ReadOutcome.HistoryGone) {
       readFrom(null);
     } else {
-      gap = recovery == Recovery.REREAD;
-      retryLater(gap ? () -> readFrom(null) : this::followAgain);
+      changesMayBeMissed = recovery == Recovery.REREAD;
+      retryLater(changesMayBeMissed ? () -> readFrom(null) : this::resumeAfterFailure);
     }
   }
 
   private void retryLater(Runnable task) {
     scheduler.accept(task, retryMillis);
-    retryMillis = Math.min(LONGEST_RETRY_MILLIS, retryMillis * 2);
+    retryMillis = Math.min(MAX_RETRY_MILLIS, retryMillis * 2);
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/GatewayMetrics.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/GatewayMetrics.java
@@ -28,13 +28,13 @@
  * metrics library is loaded only when somebody asks for the figures.
  */
 public final class GatewayMetrics {
-  private static final long LONGEST_MILLIS = 60_000;
+  private static final long MAX_RECORDED_MILLIS = 60_000;
   private static final int SIGNIFICANT_DIGITS = 2;
   private static final double[] QUANTILES = {0.5, 0.9, 0.99};
 
   private final Map<Integer, long[]> callsByStatus = new TreeMap<>();
-  private final Histogram callMillis = new Histogram(LONGEST_MILLIS, SIGNIFICANT_DIGITS);
-  private final Histogram firstEventMillis = new Histogram(LONGEST_MILLIS, SIGNIFICANT_DIGITS);
+  private final Histogram callMillis = new Histogram(MAX_RECORDED_MILLIS, SIGNIFICANT_DIGITS);
+  private final Histogram firstEventMillis = new Histogram(MAX_RECORDED_MILLIS, SIGNIFICANT_DIGITS);
   private final Map<String, long[]> storeCalls = new TreeMap<>();
   private final Map<String, long[]> storeCallsToReport = new TreeMap<>();
   private final Map<String, long[]> limitFigures = new TreeMap<>();
@@ -56,9 +56,9 @@
    */
   public void callEnded(int status, long millis, long firstMillis) {
     callsByStatus.computeIfAbsent(status, key -> new long[1])[0]++;
-    callMillis.recordValue(Math.min(LONGEST_MILLIS, Math.max(0, millis)));
+    callMillis.recordValue(Math.min(MAX_RECORDED_MILLIS, Math.max(0, millis)));
     if (firstMillis >= 0) {
-      firstEventMillis.recordValue(Math.min(LONGEST_MILLIS, firstMillis));
+      firstEventMillis.recordValue(Math.min(MAX_RECORDED_MILLIS, firstMillis));
     }
   }
 
@@ -142,10 +142,10 @@
    * Adds a figure that is read whenever somebody asks for the figures.
    *
    * @param name its name, with its unit
-   * @param reading reads it
+   * @param value reads it
    */
-  public void gauge(String name, LongSupplier reading) {
-    gauges.put(name, reading);
+  public void gauge(String name, LongSupplier value) {
+    gauges.put(name, value);
   }
 
   /** Counts a connection that is opened to an engine. */
@@ -176,7 +176,7 @@
             "status",
             callsByStatus);
     MetricSnapshots.Builder snapshots = MetricSnapshots.builder();
-    gauges.forEach((name, reading) -> snapshots.metricSnapshot(gaugeSnapshot(name, reading)));
+    gauges.forEach((name, value) -> snapshots.metricSnapshot(gaugeSnapshot(name, value)));
     for (MetricSnapshot snapshot :
         List.of(
             calls,
@@ -230,12 +230,11 @@
     return out.toByteArray();
   }
 
-  private static GaugeSnapshot gaugeSnapshot(String name, LongSupplier reading) {
+  private static GaugeSnapshot gaugeSnapshot(String name, LongSupplier value) {
     return GaugeSnapshot.builder()
         .name(name)
         .help("As of now")
-        .dataPoint(
-            GaugeSnapshot.GaugeDataPointSnapshot.builder().value(reading.getAsLong()).build())
+        .dataPoint(GaugeSnapshot.GaugeDataPointSnapshot.builder().value(value.getAsLong()).build())
         .build();
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/NodeStatusLog.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/NodeStatusLog.java
@@ -6,30 +6,30 @@
 /** Writes a line whenever a process comes to believe something else about itself or its store. */
 public final class NodeStatusLog {
   private final GatewayLog log;
-  private final BooleanSupplier recent;
+  private final BooleanSupplier configurationRecent;
   private final LongSupplier proofAgeMillis;
   private final BooleanSupplier ready;
   private final BooleanSupplier storeReachable;
-  private boolean wasRecent;
+  private boolean configurationWasRecent;
   private boolean wasReady;
   private boolean storeWasReachable;
 
   /**
    * Creates a log of a process that believes nothing yet.
    *
-   * @param recent whether the configuration is proven recently enough for keys
+   * @param configurationRecent whether the configuration is proven recently enough for keys
    * @param proofAgeMillis how long ago it was proven
    * @param ready whether new callers should come here
    * @param storeReachable whether the store answers
    */
   public NodeStatusLog(
       GatewayLog log,
-      BooleanSupplier recent,
+      BooleanSupplier configurationRecent,
       LongSupplier proofAgeMillis,
       BooleanSupplier ready,
       BooleanSupplier storeReachable) {
     this.log = log;
-    this.recent = recent;
+    this.configurationRecent = configurationRecent;
     this.proofAgeMillis = proofAgeMillis;
     this.ready = ready;
     this.storeReachable = storeReachable;
@@ -37,10 +37,12 @@
 
   /** Compares with what was believed before. */
   public void logChanges() {
-    if (recent.getAsBoolean() != wasRecent) {
-      wasRecent = !wasRecent;
+    if (configurationRecent.getAsBoolean() != configurationWasRecent) {
+      configurationWasRecent = !configurationWasRecent;
       log.write(
-          wasRecent ? GatewayEvent.CONFIGURATION_RECENT : GatewayEvent.CONFIGURATION_STALE,
+          configurationWasRecent
+              ? GatewayEvent.CONFIGURATION_RECENT
+              : GatewayEvent.CONFIGURATION_STALE,
           "proven_ms_ago",
           proofAgeMillis.getAsLong());
     }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/storage/TestCountingStore.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/storage/TestCountingStore.java
@@ -18,7 +18,7 @@
     "7, false, true, CHANGE",
     "0, false, false, CHECK",
   })
-  void aTransactionCountsByItsConditionAndEffect(
+  void countsTransactionByConditionAndEffect(
       long expectedVersion, boolean puts, boolean removes, Kind kind) {
     Transaction transaction =
         new Transaction(
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/storage/TestStoreClock.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/storage/TestStoreClock.java
@@ -13,7 +13,7 @@
   private final StoreClock clock = new StoreClock();
 
   @Test
-  void oneAnswerBoundsTheStoresTimeByItsWay() {
+  void oneResponseBoundsStoreTimeByItsRoundTrip() {
     assertFalse(clock.known());
     clock.observe(100 * MILLI, 110 * MILLI, 5_000);
     assertTrue(clock.known());
@@ -24,7 +24,7 @@
 
   /** Whatever the ways take, the bounds enclose the truth and only get closer. */
   @Test
-  void theBoundsHoldForAnyDelays() {
+  void boundsHoldForAnyDelays() {
     Random random = new Random(7);
     long offset = 123_456_789L * MILLI + 333;
     long now = 50 * MILLI;
@@ -34,10 +34,10 @@
       long received = answered + random.nextInt(300) * MILLI / (1 + random.nextInt(50));
       clock.observe(sent, received, (answered + offset) / MILLI);
       now = received + random.nextInt(100) * MILLI;
-      long truth = (now + offset) / MILLI;
-      assertTrue(clock.earliestStoreMillis(now) <= truth);
-      assertTrue(clock.latestStoreMillis(now) >= truth);
-      assertTrue(clock.earliestNanos(truth) <= now);
+      long actual = (now + offset) / MILLI;
+      assertTrue(clock.earliestStoreMillis(now) <= actual);
+      assertTrue(clock.latestStoreMillis(now) >= actual);
+      assertTrue(clock.earliestNanos(actual) <= now);
     }
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/storage/TestTableWatcher.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/storage/TestTableWatcher.java
@@ -14,8 +14,8 @@
 class TestTableWatcher {
   private final TestingEventLoop eventLoop = new TestingEventLoop();
   private final ScriptedStore store = new ScriptedStore();
-  private final List<String> heard = new ArrayList<>();
-  private final List<Long> complete = new ArrayList<>();
+  private final List<String> delivered = new ArrayList<>();
+  private final List<Long> caughtUp = new ArrayList<>();
   private final TableWatcher watcher = watcher(0);
 
   private TableWatcher watcher(long pauseMillis) {
@@ -33,17 +33,17 @@
         new TableWatcher.Listener() {
           @Override
           public void onSnapshot(List<StoredRow> rows) {
-            heard.add("snapshot " + keys(rows));
+            delivered.add("snapshot " + keys(rows));
           }
 
           @Override
           public void onChanges(List<StoredRow> rows) {
-            heard.add("changes " + keys(rows));
+            delivered.add("changes " + keys(rows));
           }
 
           @Override
           public void onCaughtUp(long nanos) {
-            complete.add(nanos);
+            caughtUp.add(nanos);
           }
         });
   }
@@ -62,141 +62,141 @@
 
   /** Answers in the order of the script and notes the questions. */
   private static final class ScriptedStore implements DurableStore {
-    private final ArrayDeque<ReadOutcome> answers = new ArrayDeque<>();
-    private final List<String> questions = new ArrayList<>();
+    private final ArrayDeque<ReadOutcome> outcomes = new ArrayDeque<>();
+    private final List<String> requests = new ArrayList<>();
     private final List<Integer> waits = new ArrayList<>();
 
     @Override
-    public void transact(Transaction transaction, Consumer<TransactionOutcome> answer) {
+    public void transact(Transaction transaction, Consumer<TransactionOutcome> callback) {
       throw new UnsupportedOperationException();
     }
 
     @Override
-    public void read(RangeRead read, Consumer<ReadOutcome> answer) {
-      questions.add("read " + read.fromKey());
-      reply(answer);
+    public void read(RangeRead read, Consumer<ReadOutcome> callback) {
+      requests.add("read " + read.fromKey());
+      reply(callback);
     }
 
     @Override
     public void watch(
-        String table, long afterVersion, int waitMillis, Consumer<ReadOutcome> answer) {
-      questions.add("watch " + afterVersion);
+        String table, long afterVersion, int waitMillis, Consumer<ReadOutcome> callback) {
+      requests.add("watch " + afterVersion);
       waits.add(waitMillis);
-      reply(answer);
+      reply(callback);
     }
 
-    private void reply(Consumer<ReadOutcome> answer) {
-      if (!answers.isEmpty()) {
-        answer.accept(answers.poll());
+    private void reply(Consumer<ReadOutcome> callback) {
+      if (!outcomes.isEmpty()) {
+        callback.accept(outcomes.poll());
       }
     }
   }
 
   @Test
-  void readsAllPagesAndFollowsFromTheFirst() {
-    store.answers.add(rows(5, true, "a", "b"));
-    store.answers.add(rows(9, false, "c"));
-    store.answers.add(rows(11, false, "d"));
+  void readsAllPagesAndFollowsFeedFromFirstPage() {
+    store.outcomes.add(rows(5, true, "a", "b"));
+    store.outcomes.add(rows(9, false, "c"));
+    store.outcomes.add(rows(11, false, "d"));
     watcher.start();
-    assertEquals(List.of("snapshot [a, b, c]", "changes [d]"), heard);
-    assertEquals(List.of("read null", "read b\0", "watch 5", "watch 11"), store.questions);
+    assertEquals(List.of("snapshot [a, b, c]", "changes [d]"), delivered);
+    assertEquals(List.of("read null", "read b\0", "watch 5", "watch 11"), store.requests);
   }
 
   /**
    * A store that has just recovered may answer reads from an old state; the feed tells the rest.
    */
   @Test
-  void onlyTheFeedProvesThatAllChangesAreKnown() {
-    store.answers.add(rows(5, false, "a"));
+  void onlyFeedReportsCaughtUp() {
+    store.outcomes.add(rows(5, false, "a"));
     watcher.start();
-    assertEquals(List.of(), complete);
-    store.answers.add(rows(6, true, "b"));
+    assertEquals(List.of(), caughtUp);
+    store.outcomes.add(rows(6, true, "b"));
     watcher.poll();
-    assertEquals(List.of(), complete);
-    store.answers.add(rows(7, false));
+    assertEquals(List.of(), caughtUp);
+    store.outcomes.add(rows(7, false));
     watcher.poll();
-    assertEquals(List.of(7L), complete);
-    assertEquals(List.of("snapshot [a]", "changes [b]"), heard);
+    assertEquals(List.of(7L), caughtUp);
+    assertEquals(List.of("snapshot [a]", "changes [b]"), delivered);
   }
 
   @Test
-  void oneCheckAtATime() {
-    store.answers.add(rows(5, false, "a"));
+  void atMostOnePollIsPending() {
+    store.outcomes.add(rows(5, false, "a"));
     watcher.poll();
     watcher.start();
     watcher.poll();
     watcher.poll();
-    assertEquals(List.of("read null", "watch 5", "watch 5"), store.questions);
+    assertEquals(List.of("read null", "watch 5", "watch 5"), store.requests);
     assertEquals(List.of(2_000, 1), store.waits);
   }
 
   /** A simulated schedule: the feed fell silent just after it had recovered (seed 8835). */
   @Test
-  void provesNothingAfterAFailureBeforeTheTableWasReadAgain() {
-    TableWatcher careful = watcher(0, TableWatcher.Recovery.REREAD);
-    store.answers.add(rows(5, false, "a"));
-    store.answers.add(new ReadOutcome.Failed("down"));
-    careful.start();
-    careful.poll();
-    assertEquals(List.of("read null", "watch 5"), store.questions);
-    store.answers.add(rows(8, false, "b"));
-    store.answers.add(rows(8, false));
+  void notCaughtUpAfterFailureUntilTableIsReadAgain() {
+    TableWatcher rereading = watcher(0, TableWatcher.Recovery.REREAD);
+    store.outcomes.add(rows(5, false, "a"));
+    store.outcomes.add(new ReadOutcome.Failed("down"));
+    rereading.start();
+    rereading.poll();
+    assertEquals(List.of("read null", "watch 5"), store.requests);
+    store.outcomes.add(rows(8, false, "b"));
+    store.outcomes.add(rows(8, false));
     eventLoop.advance(60);
-    assertEquals(List.of("snapshot [a]", "snapshot [b]"), heard);
-    assertEquals(List.of(8L), complete);
+    assertEquals(List.of("snapshot [a]", "snapshot [b]"), delivered);
+    assertEquals(List.of(8L), caughtUp);
   }
 
   @Test
-  void asksForAnAnswerAtOnceAfterAFailure() {
-    store.answers.add(rows(5, false, "a"));
-    store.answers.add(new ReadOutcome.Failed("down"));
-    store.answers.add(rows(5, false));
+  void requestsImmediateResponseAfterFailure() {
+    store.outcomes.add(rows(5, false, "a"));
+    store.outcomes.add(new ReadOutcome.Failed("down"));
+    store.outcomes.add(rows(5, false));
     watcher.start();
     eventLoop.advance(100);
     assertEquals(List.of(2_000, 1, 2_000), store.waits);
   }
 
   @Test
-  void readsAgainWhenHistoryIsGone() {
-    store.answers.add(rows(5, false, "a"));
-    store.answers.add(new ReadOutcome.HistoryGone());
-    store.answers.add(rows(20, false, "b"));
+  void readsTableAgainWhenHistoryIsGone() {
+    store.outcomes.add(rows(5, false, "a"));
+    store.outcomes.add(new ReadOutcome.HistoryGone());
+    store.outcomes.add(rows(20, false, "b"));
     watcher.start();
-    assertEquals(List.of("snapshot [a]", "snapshot [b]"), heard);
-    assertEquals("watch 20", store.questions.get(3));
+    assertEquals(List.of("snapshot [a]", "snapshot [b]"), delivered);
+    assertEquals("watch 20", store.requests.get(3));
   }
 
   @Test
-  void dropsAnAnswerFromAnOldState() {
-    store.answers.add(rows(30, false, "a"));
-    store.answers.add(new ReadOutcome.HistoryGone());
-    store.answers.add(rows(10, false, "old"));
-    store.answers.add(rows(31, false, "new"));
+  void discardsPageOfOlderState() {
+    store.outcomes.add(rows(30, false, "a"));
+    store.outcomes.add(new ReadOutcome.HistoryGone());
+    store.outcomes.add(rows(10, false, "old"));
+    store.outcomes.add(rows(31, false, "new"));
     watcher.start();
     eventLoop.advance(200);
-    assertEquals(List.of("snapshot [a]", "snapshot [new]"), heard);
+    assertEquals(List.of("snapshot [a]", "snapshot [new]"), delivered);
   }
 
   @Test
-  void asksAgainAfterAFailure() {
-    store.answers.add(new ReadOutcome.Failed("down"));
-    store.answers.add(rows(5, false, "a"));
-    store.answers.add(new ReadOutcome.Failed("down"));
-    store.answers.add(rows(6, false, "b"));
+  void retriesAfterFailure() {
+    store.outcomes.add(new ReadOutcome.Failed("down"));
+    store.outcomes.add(rows(5, false, "a"));
+    store.outcomes.add(new ReadOutcome.Failed("down"));
+    store.outcomes.add(rows(6, false, "b"));
     watcher.start();
     eventLoop.advance(1_000);
-    assertEquals(List.of("snapshot [a]", "changes [b]"), heard);
+    assertEquals(List.of("snapshot [a]", "changes [b]"), delivered);
   }
 
   @ParameterizedTest(name = "pause {0} ms: {1}")
   @CsvSource({"0, 3, 3", "200, 2, 3"})
-  void restsAfterChangesAndNotAfterAnEmptyAnswer(long pause, int atOnce, int afterThePause) {
-    store.answers.add(rows(5, false, "a"));
-    store.answers.add(rows(6, false, "b"));
+  void pausesAfterChangesButNotAfterEmptyResponse(long pause, int atOnce, int afterThePause) {
+    store.outcomes.add(rows(5, false, "a"));
+    store.outcomes.add(rows(6, false, "b"));
     watcher(pause).start();
-    assertEquals(atOnce, store.questions.size());
+    assertEquals(atOnce, store.requests.size());
     eventLoop.advance(pause);
-    assertEquals(afterThePause, store.questions.size());
-    assertEquals("watch 6", store.questions.get(2));
+    assertEquals(afterThePause, store.requests.size());
+    assertEquals("watch 6", store.requests.get(2));
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/telemetry/TestLineWriter.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/telemetry/TestAsyncGatewayLog.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class TestLineWriter {
-  private static final int FLOOD = 200_000;
+class TestAsyncGatewayLog {
+  private static final int LINES = 200_000;
 
   @Test
   void writesStructuredLines() {
@@ -25,8 +25,8 @@
   }
 
   @Test
-  void aFloodBehindAStuckReaderNeitherBlocksNorGrows() throws Exception {
-    CountDownLatch stuck = new CountDownLatch(1);
+  void fullQueueDropsLinesWithoutBlocking() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
     ByteArrayOutputStream written = new ByteArrayOutputStream();
     OutputStream slow =
         new OutputStream() {
@@ -37,22 +37,22 @@
 
           @Override
           public void write(byte[] bytes, int from, int length) {
-            await(stuck);
+            await(release);
             written.write(bytes, from, length);
           }
         };
     AsyncGatewayLog writer = new AsyncGatewayLog("n1", slow);
     long start = System.nanoTime();
-    for (int i = 0; i < FLOOD; i++) {
+    for (int i = 0; i < LINES; i++) {
       writer.write(GatewayEvent.CALL_ENDED, "id", i);
     }
     long millis = (System.nanoTime() - start) / 1_000_000;
     assertTrue(millis < 10_000, millis + " ms");
-    stuck.countDown();
+    release.countDown();
     writer.close();
     String text = written.toString(StandardCharsets.UTF_8);
     assertTrue(text.contains("LINES_DROPPED"), "drops are counted");
-    assertTrue(text.lines().count() < FLOOD / 10, text.lines().count() + " lines");
+    assertTrue(text.lines().count() < LINES / 10, text.lines().count() + " lines");
   }
 
   private static void await(CountDownLatch latch) {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/telemetry/TestGatewayEvent.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/telemetry/TestGatewayEvent.java
@@ -15,10 +15,10 @@
   private static final Pattern ROW = Pattern.compile("(?m)^\\| (3\\d\\d) \\| `([A-Z_]+)` \\|");
 
   @Test
-  void theCatalogueListsExactlyTheseEvents() throws IOException {
-    String catalogue = Files.readString(Path.of("..", "docs", "GATEWAY-EVENTS.md"));
+  void documentationListsExactlyTheseEvents() throws IOException {
+    String documentation = Files.readString(Path.of("..", "docs", "GATEWAY-EVENTS.md"));
     List<String> listed =
-        ROW.matcher(catalogue)
+        ROW.matcher(documentation)
             .results()
             .map((MatchResult row) -> row.group(1) + " " + row.group(2))
             .toList();
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/telemetry/TestGatewayMetrics.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/telemetry/TestGatewayMetrics.java
@@ -12,7 +12,7 @@
 
 class TestGatewayMetrics {
   @Test
-  void tellsCallsByStatusAndTimes() {
+  void rendersCallsByStatusAndLatency() {
     GatewayMetrics metrics = new GatewayMetrics();
     metrics.callEnded(200, 120, 20);
     metrics.callEnded(200, 130, -1);
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void tellsSendsByRankAndNoneWithoutOne() {
+  void rendersOnlySendsWithRank() {
     GatewayMetrics metrics = new GatewayMetrics();
     metrics.requestRanked(8);
     metrics.requestRanked(8);
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void tellsWhatWasUsedByPurposeOnceAndInAll() {
+  void logsUsageSinceLastReportAndRendersTotals() {
     GatewayMetrics metrics = new GatewayMetrics();
     List<String> lines = new ArrayList<>();
     GatewayLog log = (event, fields) -> lines.add(event + " " + Arrays.toString(fields));
