--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/CountingStore.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/CountingStore.java
@@ -4,22 +4,25 @@
 import java.util.function.Consumer;
 import org.baykeel.gateway.telemetry.GatewayMetrics;
 
-/** Counts calls to the store by what they are for: the kind of call and the table. */
+/**
+ * Counts the calls to the store by kind of call and table, and delegates each call to another
+ * store.
+ */
 public final class CountingStore implements DurableStore {
   private final DurableStore store;
   private final GatewayMetrics metrics;
 
-  /** The kinds of calls, from their conditions and effects. */
+  /** The kind of a call. That of a transaction follows from its conditions and effects. */
   enum Kind {
     /** Reads rows. */
     READ,
     /** Waits for changes of a table. */
     WATCH,
-    /** Writes rows, the first of which must not exist yet. */
+    /** Changes rows on the condition that at least one row does not exist yet. */
     CREATE,
-    /** Writes rows that may exist, or removes some. */
+    /** Changes rows without such a condition. */
     CHANGE,
-    /** Has a condition checked and changes nothing. */
+    /** Checks conditions and changes no row. */
     CHECK;
 
     static Kind of(Transaction transaction) {
@@ -38,10 +41,10 @@
   }
 
   /**
-   * Creates a store that counts.
+   * Creates a store that counts its calls.
    *
-   * @param store makes the calls
-   * @param metrics takes the counts
+   * @param store executes the calls
+   * @param metrics receives the counts
    */
   public CountingStore(DurableStore store, GatewayMetrics metrics) {
     this.store = store;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/DurableStore.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/DurableStore.java
@@ -3,22 +3,24 @@
 import java.util.function.Consumer;
 
 /**
- * Storage that outlives every process. Answers arrive on the caller's event loop; every call is
- * answered once, at the latest after the adapter's time-out.
+ * Storage whose data outlives every process. Callbacks run on the event loop of the process that
+ * made the call; each callback is invoked exactly once, at the latest after the timeout of the
+ * implementation.
  */
 public interface DurableStore {
 
-  /** Applies a transaction. */
+  /** Applies a transaction atomically. */
   void transact(Transaction transaction, Consumer<TransactionOutcome> callback);
 
-  /** Reads rows as of one moment. */
+  /** Reads a range of rows as of one moment. */
   void read(RangeRead read, Consumer<ReadOutcome> callback);
 
   /**
-   * Waits for changes of a table.
+   * Waits for changes of a table (long poll).
    *
-   * @param afterVersion only changes later than this
-   * @param waitMillis how long the store may wait for the first change
+   * @param afterVersion only changes with a later version are returned
+   * @param waitMillis the longest time for which the store waits for the first change, in
+   *     milliseconds
    */
   void watch(String table, long afterVersion, int waitMillis, Consumer<ReadOutcome> callback);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/ReadOutcome.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/ReadOutcome.java
@@ -2,23 +2,23 @@
 
 import java.util.List;
 
-/** How a read or a question to the feed ended. */
+/** The outcome of a range read or of a request to the change feed. */
 public sealed interface ReadOutcome {
 
   /**
-   * The rows, as of one moment.
+   * The rows as of one moment.
    *
-   * @param rows in rising order of key, or of change
-   * @param more whether rows beyond the limit follow
-   * @param version the store's counter at that moment
-   * @param asOfNanos a moment of this process's clock that is not after that moment
+   * @param rows the rows, in ascending order of key for a read and of change for the feed
+   * @param more whether there are further rows beyond the limit
+   * @param version the store's change counter at that moment
+   * @param asOfNanos a time of this process's monotonic clock that is not later than that moment
    */
   record Rows(List<StoredRow> rows, boolean more, long version, long asOfNanos)
       implements ReadOutcome {}
 
-  /** The feed's history before the given version is gone; read the table again. */
+  /** The feed no longer has the changes since the given version; the table must be read again. */
   record HistoryGone() implements ReadOutcome {}
 
-  /** No usable answer. */
+  /** The store gave no usable response. */
   record Failed(String reason) implements ReadOutcome {}
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/StoreClock.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/StoreClock.java
@@ -1,28 +1,29 @@
 package org.baykeel.gateway.storage;
 
 /**
- * Bounds between this process's steady clock and the store's, which its answers tell. Each call
- * gives both: the answer was made after the call was sent and before it arrived.
+ * Bounds on the offset between this process's monotonic clock and the store's clock, whose time is
+ * in the store's responses. Each call bounds the offset on both sides, since the response was made
+ * after the request was sent and before the response arrived.
  *
- * <p>Both clocks are assumed to run at the same speed while a process lives.
+ * <p>Both clocks are assumed to run at the same rate for the lifetime of the process.
  */
 public final class StoreClock {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   private boolean known;
 
-  /** The store's time less this process's is at most this. */
+  /** Upper bound of the store's time minus this process's time. */
   private long highestOffsetNanos;
 
-  /** The store's time less this process's is at least this. */
+  /** Lower bound of the store's time minus this process's time. */
   private long lowestOffsetNanos;
 
   /**
-   * Notes an answer.
+   * Records the store's time in a response.
    *
-   * @param sentNanos when the call was sent
-   * @param receivedNanos when the answer was read
-   * @param storeMillis the store's time in the answer, rounded down
+   * @param sentNanos this process's time when the request was sent
+   * @param receivedNanos this process's time when the response was read
+   * @param storeMillis the store's time in the response, rounded down to milliseconds
    */
   public void observe(long sentNanos, long receivedNanos, long storeMillis) {
     long highest = (storeMillis + 1) * NANOS_PER_MILLI - sentNanos;
@@ -32,33 +33,34 @@
     known = true;
   }
 
-  /** Whether an answer was noted. */
+  /** Whether the store's time was observed at least once; the bounds are undefined before. */
   public boolean known() {
     return known;
   }
 
   /**
-   * A moment of this process's clock that is not after a moment of the store's.
+   * Returns a time of this process's clock that is not later than a given time of the store's
+   * clock.
    *
-   * @param storeMillis a moment of the store's clock
+   * @param storeMillis a time of the store's clock
    */
   public long earliestNanos(long storeMillis) {
     return storeMillis * NANOS_PER_MILLI - highestOffsetNanos;
   }
 
   /**
-   * What the store's clock shows at the least.
+   * Returns the earliest time that the store's clock may show, in milliseconds.
    *
-   * @param nanos a moment of this process's clock
+   * @param nanos a time of this process's clock
    */
   public long earliestStoreMillis(long nanos) {
     return Math.floorDiv(nanos + lowestOffsetNanos, NANOS_PER_MILLI);
   }
 
   /**
-   * What the store's clock shows at the most.
+   * Returns the latest time that the store's clock may show, in milliseconds.
    *
-   * @param nanos a moment of this process's clock
+   * @param nanos a time of this process's clock
    */
   public long latestStoreMillis(long nanos) {
     return Math.floorDiv(nanos + highestOffsetNanos, NANOS_PER_MILLI) + 1;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/StoredRow.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/StoredRow.java
@@ -1,16 +1,16 @@
 package org.baykeel.gateway.storage;
 
 /**
- * A row as the store holds it.
+ * A row of the store.
  *
- * @param address where it lies
- * @param value its bytes; null if the row was removed
- * @param version the store's counter at its last change
+ * @param address the row's address
+ * @param value the row's bytes; null if the row was removed
+ * @param version the store's change counter at the row's last change
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record StoredRow(RowAddress address, byte[] value, long version) {
 
-  /** Whether the feed tells of the row's removal. */
+  /** Whether the row was removed, as the change feed reports it. */
   public boolean removed() {
     return value == null;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/TableWatcher.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/TableWatcher.java
@@ -5,42 +5,42 @@
 import java.util.function.BiConsumer;
 
 /**
- * Keeps a process's copy of a table current: reads it whole once, then follows the feed. Versions
- * never go back: an answer older than what is known is dropped and asked for again, since a store
- * that has just recovered may answer reads from an old state.
+ * Keeps a process's copy of a table current: reads the whole table once, then follows its change
+ * feed with long polls. A page older than the known version is discarded and the table read again,
+ * since a store that has just recovered may serve reads from an old state.
  */
 public final class TableWatcher {
   private static final int PAGE_ROWS = 500;
   private static final long FIRST_RETRY_MILLIS = 50;
   private static final long MAX_RETRY_MILLIS = 400;
 
-  /** The store tells at once what it has. */
+  /** Wait time for which the feed responds at once, with the changes that it has. */
   private static final int IMMEDIATE_WAIT_MILLIS = 1;
 
-  /** What a watcher does after a question to the feed has failed. */
+  /** The action after a request to the feed has failed. */
   public enum Recovery {
-    /** It goes on from the last version that it knows. */
+    /** Resumes the feed from the last known version. */
     RESUME,
     /**
-     * It reads the table again before it tells that all changes are known: a feed that has just
-     * recovered may be silent for a while about changes that were made before.
+     * Reads the table again before it reports again that all changes are known, since a feed that
+     * has just recovered may omit earlier changes for a while.
      */
     REREAD
   }
 
-  /** Receives the table's state. */
+  /** Receives the state of the table and its changes. */
   public interface Listener {
     /** The whole table as of one version. */
     void onSnapshot(List<StoredRow> rows);
 
-    /** Rows that changed since the last call. */
+    /** The rows that changed since the last call, removed ones included. */
     void onChanges(List<StoredRow> rows);
 
     /**
-     * All changes before a moment have been told. A snapshot proves nothing of the kind: a store
-     * that has just recovered may answer reads from an old state.
+     * All changes before a given time have been delivered. A snapshot alone does not prove this,
+     * since a store that has just recovered may serve reads from an old state.
      *
-     * @param nanos the moment, of this process's clock
+     * @param nanos the time, of this process's monotonic clock
      */
     default void onCaughtUp(long nanos) {}
   }
@@ -58,7 +58,9 @@
   private boolean hasSnapshot;
   private boolean polling;
 
-  /** Whether changes may have been missed since the feed was followed without a failure. */
+  /**
+   * Whether changes may have been missed, because the feed failed and the table was not read since.
+   */
   private boolean changesMayBeMissed;
 
   private long retryMillis = FIRST_RETRY_MILLIS;
@@ -66,12 +68,12 @@
   /**
    * Creates a watcher.
    *
-   * @param waitMillis how long one question to the feed may wait; also bounds how late a lost path
-   *     to the store is noticed
-   * @param pauseMillis how long the feed is left alone after it told changes, so that many that
-   *     follow each other come in few answers: each of N nodes hears each change, so a call for
-   *     each would grow with nodes times changes; also how much later a change may be learnt
-   * @param recovery what is done after a question to the feed has failed
+   * @param waitMillis the longest time for which one request to the feed waits, in milliseconds;
+   *     also bounds how late the loss of the path to the store is detected
+   * @param pauseMillis the pause after a response with changes, in milliseconds, which batches
+   *     successive changes into few responses: each of N nodes receives each change, so one call
+   *     per change would cost nodes times changes; a change may be received this much later
+   * @param recovery the action after a request to the feed has failed
    * @param scheduler runs a task after a delay in milliseconds on the event loop
    */
   public TableWatcher(
@@ -91,12 +93,12 @@
     this.listener = listener;
   }
 
-  /** Begins to read. */
+  /** Starts to read the table. */
   public void start() {
     readFrom(null);
   }
 
-  /** Whether the table has been read whole. */
+  /** Whether the whole table has been read. */
   public boolean hasSnapshot() {
     return hasSnapshot;
   }
@@ -132,8 +134,9 @@
   }
 
   /**
-   * Asks the feed at once for what it has, beside the question that waits for changes; does nothing
-   * while such a question is under way or the table has not been read.
+   * Requests the changes that the feed has now, beside the long poll. Does nothing while such a
+   * request is pending, while the table has not been read, or while it must be read again after a
+   * failure.
    */
   public void poll() {
     if (polling || !hasSnapshot || changesMayBeMissed) {
@@ -154,7 +157,10 @@
     store.watch(table, knownVersion, waitMillis, this::onFeedOutcome);
   }
 
-  /** After a failure the first answer is to come soon, whether or not there are changes. */
+  /**
+   * Resumes the feed after a failure with a request that the store answers at once, even without
+   * changes, so that the end of an outage is detected early.
+   */
   private void resumeAfterFailure() {
     store.watch(table, knownVersion, IMMEDIATE_WAIT_MILLIS, this::onFeedOutcome);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/TransactionOutcome.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/storage/TransactionOutcome.java
@@ -2,18 +2,24 @@
 
 import java.util.List;
 
-/** How a transaction ended. */
+/** The outcome of a transaction. */
 public sealed interface TransactionOutcome {
 
-  /** It took effect; its rows have this version. */
+  /** The transaction was applied; the rows that it wrote have this version. */
   record Applied(long version) implements TransactionOutcome {}
 
-  /** A condition did not hold; the current state of the rows that are present. */
+  /**
+   * An expectation did not hold and nothing was changed. The rows are the current state of those
+   * rows with an expectation that exist.
+   */
   record Conflict(List<StoredRow> rows) implements TransactionOutcome {}
 
-  /** The store refused it; nothing was done and nothing will be. */
+  /** The transaction was refused or not sent: it was not applied and will not be. */
   record Refused(String reason) implements TransactionOutcome {}
 
-  /** No answer: it may have been done, or be done later while its conditions hold. */
+  /**
+   * There was no response: the transaction may have been applied, or may be applied later if its
+   * expectations still hold then.
+   */
   record Unknown(String reason) implements TransactionOutcome {}
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/storage/TestStoreClock.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/storage/TestStoreClock.java
@@ -22,7 +22,7 @@
     assertEquals(99 * MILLI, clock.earliestNanos(5_000));
   }
 
-  /** Whatever the ways take, the bounds enclose the truth and only get closer. */
+  /** The bounds enclose the store's time for any delays of requests and responses. */
   @Test
   void boundsHoldForAnyDelays() {
     Random random = new Random(7);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/storage/TestTableWatcher.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/storage/TestTableWatcher.java
@@ -60,7 +60,7 @@
     return new ReadOutcome.Rows(rows, more, version, version);
   }
 
-  /** Answers in the order of the script and notes the questions. */
+  /** Replies in the order of the script and records the requests. */
   private static final class ScriptedStore implements DurableStore {
     private final ArrayDeque<ReadOutcome> outcomes = new ArrayDeque<>();
     private final List<String> requests = new ArrayList<>();
@@ -103,7 +103,8 @@
   }
 
   /**
-   * A store that has just recovered may answer reads from an old state; the feed tells the rest.
+   * A store that has just recovered may serve reads from an old state; only the feed then delivers
+   * the later changes.
    */
   @Test
   void onlyFeedReportsCaughtUp() {
@@ -130,7 +131,10 @@
     assertEquals(List.of(2_000, 1), store.waits);
   }
 
-  /** A simulated schedule: the feed fell silent just after it had recovered (seed 8835). */
+  /**
+   * Guards against a failure of the simulation with seed 8835: a feed returned no changes just
+   * after it had recovered.
+   */
   @Test
   void notCaughtUpAfterFailureUntilTableIsReadAgain() {
     TableWatcher rereading = watcher(0, TableWatcher.Recovery.REREAD);
