--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/DirectPathHealth.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/DirectPathHealth.java
@@ -1,21 +1,24 @@
 package org.baykeel.gateway.remote;
 
-/** What this node knows about its own way to the store, from the outcomes of its calls. */
+/** The state of this node's direct path to the store, from the outcomes of its calls. */
 final class DirectPathHealth {
-  /** Consecutive failures after which the way counts as broken. */
+  /** Consecutive failures after which the path counts as broken. */
   private static final int FAILURES_UNTIL_BROKEN = 2;
 
-  /** Weight of one observed time to an answer. */
+  /** Weight of one response time in the moving average. */
   private static final double SMOOTHING = 0.1;
 
-  /** A call without an answer after this multiple of the usual time is worth a second way. */
+  /**
+   * A call without a response after this multiple of the average response time is sent on a second
+   * path.
+   */
   private static final double OVERDUE_FACTOR = 6.0;
 
   /**
-   * A way on which something was answered so lately works, whatever failed since: the store may be
-   * away in part, and calls to the other parts are answered between those that fail. With 32 in 100
-   * of its partitions away and no such rule, 67 nodes lost and regained the way some 350 times each
-   * half second.
+   * Failures do not break the path within this time after an answered call: in a partial outage of
+   * the store, calls to the available partitions are answered between those that fail. Without this
+   * rule, with 32 of 100 partitions unavailable, 67 nodes lost and regained the path about 350
+   * times per half second.
    */
   private static final long PARTIAL_OUTAGE_NANOS = 250_000_000L;
 
@@ -28,7 +31,9 @@
   private boolean everAnswered;
   private long lastAnswerNanos;
 
-  /** Notes an answer of a call that may have waited for something to tell. */
+  /**
+   * Records the response to a long poll, whose response time says nothing about the path's latency.
+   */
   void answered(long nowNanos) {
     consecutiveFailures = 0;
     broken = false;
@@ -37,28 +42,28 @@
   }
 
   /**
-   * Notes an answer.
+   * Records the response to a call.
    *
-   * @param millis the time that it took
+   * @param millis the response time in milliseconds
    */
   void answered(double millis, long nowNanos) {
     averageMillis += SMOOTHING * (millis - averageMillis);
     answered(nowNanos);
   }
 
-  /** Notes a call that was not answered, or turned away. */
+  /** Records a call that was refused or not answered. */
   void failed(long nowNanos) {
     consecutiveFailures++;
     boolean partialOutage = everAnswered && nowNanos - lastAnswerNanos < PARTIAL_OUTAGE_NANOS;
     broken = broken || consecutiveFailures >= FAILURES_UNTIL_BROKEN && !partialOutage;
   }
 
-  /** Whether calls are expected to be answered. */
+  /** Whether calls on the direct path are expected to be answered. */
   boolean working() {
     return !broken;
   }
 
-  /** The time after which an answer that has not come is overdue, in milliseconds. */
+  /** The time after which a missing response is overdue, in milliseconds. */
   long overdueMillis() {
     return Math.max(MIN_OVERDUE_MILLIS, Math.round(averageMillis * OVERDUE_FACTOR));
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/FailoverStoreClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/FailoverStoreClient.java
@@ -10,20 +10,23 @@
 import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
- * Calls the store directly while that works, through another node while only this node is cut off,
- * and not at all while nobody reaches it; then cheap reads find out when it is back.
+ * Calls the store directly while the direct path works, and through a relay node while this node
+ * alone is cut off from the store. After repeated failures at relay nodes, when the store is
+ * probably unreachable from all nodes, calls fail without being sent. A cheap read probes the
+ * direct path at intervals until it works again.
  *
- * <p>Invariant: a call is reported as not sent or as turned away only if no copy of it can have
- * been done. A call may be made twice, so a change must carry a condition that its own copy breaks.
+ * <p>Invariant: a call is reported as not sent or as refused only if no copy of it can have been
+ * executed. A call may be sent twice, so a change must carry a condition that fails once the change
+ * has been applied.
  */
 public final class FailoverStoreClient implements StoreClient {
-  /** Nodes that may be asked to relay one call. */
+  /** Maximum number of nodes that relay one call. */
   private static final int MAX_RELAYS = 2;
 
-  /** Between two reads that find out whether the direct way works again. */
+  /** Interval between two probes of a broken direct path. */
   private static final long PROBE_INTERVAL_MILLIS = 250;
 
-  /** A relayed call takes two ways; it is overdue later than a direct one. */
+  /** A relayed call crosses two network paths, so it counts as overdue later than a direct call. */
   private static final int RELAY_OVERDUE_FACTOR = 2;
 
   private final StoreClient direct;
@@ -37,13 +40,13 @@
   private boolean probing;
 
   /**
-   * Creates a caller that takes the direct way first.
+   * Creates a client that prefers the direct path.
    *
-   * @param direct the direct way
-   * @param relays the way to other nodes
-   * @param candidates the nodes that may relay
-   * @param probe a cheap read
-   * @param random picks relays
+   * @param direct sends calls on the direct path
+   * @param relays sends calls to other nodes
+   * @param candidates the nodes that may relay calls
+   * @param probe a cheap read that tests the direct path
+   * @param random selects relay nodes
    */
   public FailoverStoreClient(
       StoreClient direct,
@@ -61,7 +64,7 @@
     this.log = log;
   }
 
-  /** Sets what runs each time after the direct way works again. */
+  /** Sets the action that runs each time the direct path works again. */
   public void onDirectPathRestored(Runnable action) {
     onDirectPathRestored = action;
   }
@@ -72,11 +75,12 @@
   }
 
   /**
-   * Makes a call of another node, by the direct way only, so that calls don't wander between nodes.
+   * Makes a call on behalf of another node, on the direct path only, so that a call is relayed at
+   * most once.
    */
   public void callDirectly(StoreCall call, Consumer<StoreReply> callback) {
     if (!directPath.working()) {
-      callback.accept(new StoreReply.NotSent("no way to the store"));
+      callback.accept(new StoreReply.NotSent("no path to the store"));
       return;
     }
     long sentNanos = eventLoop.nanoTime();
@@ -88,7 +92,7 @@
         });
   }
 
-  /** Returns whether the reply is an answer that counts. */
+  /** Records the outcome of a direct call and returns whether the store executed the call. */
   private boolean recordDirectReply(StoreCall call, StoreReply reply, long sentNanos) {
     if (!executed(reply)) {
       if (!longPollEndedEarly(call, reply, sentNanos)) {
@@ -111,8 +115,8 @@
   }
 
   /**
-   * Whether the service cut a long poll before its time, as it does when it forgets what the poll
-   * asked for. That says nothing of the next call.
+   * Whether the service closed a long poll before its timeout, as it does when it discards the
+   * history that the poll requested. Such a reply does not count against the direct path.
    */
   private boolean longPollEndedEarly(StoreCall call, StoreReply reply, long sentNanos) {
     long millis = (eventLoop.nanoTime() - sentNanos) / 1_000_000;
@@ -145,7 +149,7 @@
     return reply instanceof StoreReply.Answered answered && !answered.refused();
   }
 
-  /** One call on its way, possibly by more than one way at once. */
+  /** A pending call, possibly sent on more than one path at once. */
   private final class PendingCall {
     private final StoreCall call;
     private final Consumer<StoreReply> callback;
@@ -153,7 +157,7 @@
     private boolean done;
     private boolean directOutstanding;
     private int outstanding;
-    private StoreReply failure = new StoreReply.NotSent("no way to the store");
+    private StoreReply failure = new StoreReply.NotSent("no path to the store");
 
     PendingCall(StoreCall call, Consumer<StoreReply> callback) {
       this.call = call;
@@ -164,7 +168,7 @@
       if (directPath.working()) {
         sendDirectly();
       } else if (!relay()) {
-        // The caller may not be answered before this call returns.
+        // The callback must not run before call() returns.
         eventLoop.schedule(0, () -> finish(failure));
       }
     }
@@ -197,7 +201,7 @@
       }
     }
 
-    /** Sends the call through another node; returns false if there is none to ask. */
+    /** Sends the call through a relay node; returns false if no node is available. */
     private boolean relay() {
       PeerAddress peer = relaySelector.next(triedRelays, eventLoop.nanoTime());
       if (peer == null) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RegionalRelayCandidates.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RegionalRelayCandidates.java
@@ -8,17 +8,18 @@
 import org.baykeel.gateway.peer.PeerDirectory;
 
 /**
- * Nodes of the own region relay first. Where something may be bound to regions, calls, which carry
- * kept turns, pass no node of another one.
+ * Relay candidates by region: the nodes of this node's region come first. Nodes of other regions
+ * are excluded while no configuration is known or a route or tenant is bound to regions, since
+ * store calls carry stored turns, which must not leave their region.
  */
 public final class RegionalRelayCandidates implements RelayCandidates {
   private final Supplier<PeerDirectory> peers;
   private final Supplier<GatewayConfiguration> configuration;
 
   /**
-   * Creates candidates.
+   * Creates the candidates.
    *
-   * @param peers the nodes known; asked when the first call is relayed
+   * @param peers supplies the known nodes; not called before the first call is relayed
    * @param configuration the configuration in force, or null if none is known
    */
   public RegionalRelayCandidates(
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RelayCandidates.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RelayCandidates.java
@@ -4,18 +4,18 @@
 import java.util.List;
 import org.baykeel.gateway.peer.PeerAddress;
 
-/** Which nodes may relay calls to the store. */
+/** The nodes that may relay calls to the store. */
 public interface RelayCandidates {
   /** The nodes of this node's region. */
   Collection<PeerAddress> sameRegion();
 
   /**
-   * Nodes of other regions, asked only if no near one is left; none where calls may carry what must
-   * stay in its region.
+   * Nodes of other regions, used only if no node of this region remains; empty if calls may carry
+   * data that must stay in its region.
    */
   Collection<PeerAddress> otherRegions();
 
-  /** Nodes that are all as near as each other. */
+  /** Returns candidates that are all in this node's region. */
   static RelayCandidates sameRegion(Collection<PeerAddress> nodes) {
     return new RelayCandidates() {
       @Override
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RelaySelector.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RelaySelector.java
@@ -7,12 +7,13 @@
 import org.baykeel.gateway.peer.PeerAddress;
 
 /**
- * Which node relays calls to the store: one that has done so keeps the task until it fails; then
- * another is picked at random, one of this node's region while there is any. After several failures
- * in a row, no node is asked for a while, since the store is probably away for all.
+ * Selects the node that relays calls to the store. A node that has relayed a call is selected until
+ * it fails; then another is selected at random, from this node's region as long as one remains.
+ * After several consecutive failures no node is selected for a pause, since the store is probably
+ * unreachable from all nodes.
  */
 final class RelaySelector {
-  /** Consecutive failures after which no node is asked for a while. */
+  /** Consecutive failures after which no node is selected for the pause. */
   private static final int FAILURES_UNTIL_PAUSE = 3;
 
   private static final long PAUSE_NANOS = 1_000_000_000L;
@@ -29,10 +30,10 @@
   }
 
   /**
-   * A node to ask.
+   * Selects a node.
    *
-   * @param tried nodes that had the call already
-   * @return a node, or null if none is to be asked now
+   * @param tried the nodes to which the call was already sent
+   * @return a node, or null if none is available or selection is paused
    */
   PeerAddress next(Collection<PeerAddress> tried, long nowNanos) {
     if (paused(nowNanos)) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RelayTransport.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RelayTransport.java
@@ -3,16 +3,16 @@
 import java.util.function.Consumer;
 import org.baykeel.gateway.peer.PeerAddress;
 
-/** Carries calls to other nodes, which make them in place of this one. */
+/** Sends calls to other nodes, which execute them on behalf of this node. */
 @FunctionalInterface
 public interface RelayTransport {
 
   /**
-   * Has another node make a call.
+   * Sends a call to another node.
    *
-   * @param peer the node
+   * @param peer the relay node
    * @param call the call
-   * @param callback takes its outcome, exactly once, on the event loop
+   * @param callback receives the outcome, exactly once, on the event loop
    */
   void call(PeerAddress peer, StoreCall call, Consumer<StoreReply> callback);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/StoreCall.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/StoreCall.java
@@ -1,41 +1,47 @@
 package org.baykeel.gateway.remote;
 
 /**
- * One call to the store's service.
+ * One HTTP call to the store's service.
  *
  * @param method the HTTP method
  * @param target path and query
  * @param body the body, or null for none
- * @param timeoutMillis when the call counts as lost
- * @param longPoll whether the service may hold the call until it has something to tell
+ * @param timeoutMillis the time after which the call counts as lost, in milliseconds
+ * @param longPoll whether the service may hold the call until there are changes
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record StoreCall(
     Method method, String target, byte[] body, long timeoutMillis, boolean longPoll) {
 
-  /** What a long poll's answer may take besides the time that the service may hold it. */
+  /**
+   * Time allowed for the response to a long poll on top of the time for which the service may hold
+   * it.
+   */
   private static final long LONG_POLL_SLACK_MILLIS = 800;
 
   /**
-   * A question that the service may hold.
+   * Returns a read that the service may hold until there are changes.
    *
-   * @param target path and query
-   * @param holdMillis for how long
+   * @param target the path and query
+   * @param holdMillis the longest time for which the service holds the call, in milliseconds
    */
   public static StoreCall longPoll(String target, long holdMillis) {
     return new StoreCall(Method.GET, target, null, holdMillis + LONG_POLL_SLACK_MILLIS, true);
   }
 
-  /** For how long the service may hold the call, in milliseconds. */
+  /**
+   * The longest time for which the service may hold the call, in milliseconds; 0 if it is not a
+   * long poll.
+   */
   public long holdMillis() {
     return longPoll ? Math.max(0, timeoutMillis - LONG_POLL_SLACK_MILLIS) : 0;
   }
 
-  /** What a call does to the store. */
+  /** The HTTP method, which states the effect of a call on the store. */
   public enum Method {
-    /** Reads; may be made twice. */
+    /** Reads; may be sent twice. */
     GET,
-    /** Changes rows if their conditions hold; a second copy finds its condition broken. */
+    /** Changes rows if their conditions hold; the conditions of a second copy fail. */
     POST
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/StoreClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/StoreClient.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 
-/** A way to the store's service. */
+/** Sends calls to the store's service. */
 @FunctionalInterface
 public interface StoreClient {
 
@@ -10,7 +10,7 @@
    * Makes a call.
    *
    * @param call the call
-   * @param callback takes its outcome, exactly once, on the event loop
+   * @param callback receives the outcome, exactly once, on the event loop
    */
   void call(StoreCall call, Consumer<StoreReply> callback);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/StoreReply.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/StoreReply.java
@@ -1,10 +1,10 @@
 package org.baykeel.gateway.remote;
 
-/** How a call to the store's service ended. */
+/** The outcome of a call to the store's service. */
 public sealed interface StoreReply {
 
   /**
-   * A whole answer.
+   * A complete response.
    *
    * @param status its HTTP status
    * @param body its body
@@ -14,7 +14,7 @@
     private static final int TOO_MANY_REQUESTS = 429;
     private static final int UNAVAILABLE = 503;
 
-    /** Whether the service turned the call away without doing anything. */
+    /** Whether the service refused the call without executing it (status 429 or 503). */
     public boolean refused() {
       return status == TOO_MANY_REQUESTS || status == UNAVAILABLE;
     }
@@ -23,14 +23,14 @@
   /**
    * The call did not reach the service.
    *
-   * @param reason one phrase
+   * @param reason the reason, as one phrase
    */
   record NotSent(String reason) implements StoreReply {}
 
   /**
-   * No whole answer; what the call asked for may have been done.
+   * There is no complete response; the call may have been executed.
    *
-   * @param reason one phrase
+   * @param reason the reason, as one phrase
    */
   record Lost(String reason) implements StoreReply {}
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/remote/TestFailoverStoreClient.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/remote/TestFailoverStoreClient.java
@@ -57,7 +57,7 @@
           new Random(1),
           (event, fields) -> {});
 
-  /** What happens to calls that take a way to the store. */
+  /** How a path to the store treats calls. */
   private enum PathBehavior {
     SERVES {
       @Override
@@ -96,7 +96,7 @@
     abstract void reply(StoreCall call, TestingEventLoop loop, Consumer<StoreReply> callback);
   }
 
-  /** A way that counts the calls it gets. */
+  /** A path to the store that counts its calls. */
   private final class ScriptedPath implements StoreClient {
     private PathBehavior behavior = PathBehavior.SERVES;
     private int calls;
@@ -114,7 +114,10 @@
     relayPaths.get(peer).behavior = behavior;
   }
 
-  /** Some of the store's partitions are away: two calls in three fail, the others are answered. */
+  /**
+   * Some of the store's partitions are unavailable: two of three calls fail, the others are
+   * answered.
+   */
   @Test
   void directPathSurvivesPartialStoreOutage() {
     addPeer(new PeerAddress("10.0.0.1", 1), PathBehavior.RESETS);
@@ -254,7 +257,10 @@
     assertTrue(served(callAndWait(ANSWER_MILLIS)));
   }
 
-  /** A cut way says nothing; a question that should have been answered goes another way. */
+  /**
+   * On a path that drops packets the call gets no reply at all, so it is relayed once its response
+   * is overdue.
+   */
   @Test
   void overdueLongPollIsRelayed() {
     addPeer(FIRST_PEER, PathBehavior.SERVES);
