--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/AsyncGatewayLog.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/AsyncGatewayLog.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Writes lines of {@code key=value} pairs from a thread of its own, which starts with the first
- * line. When its queue is full, lines are dropped and counted; the count is written once there is
- * room.
+ * A log that writes events as lines of {@code key=value} pairs from a thread of its own, which
+ * starts with the first line. Lines are dropped and counted while the queue is full; the count is
+ * logged when the queue has been drained.
  */
 public final class AsyncGatewayLog implements GatewayLog, AutoCloseable {
   private static final int QUEUE_LINES = 2_048;
@@ -78,7 +78,7 @@
           Thread.sleep(FLUSH_MILLIS);
         }
       } catch (InterruptedException e) {
-        // Woken by close: what is queued is written below, then the thread ends.
+        // Interrupted by close(): the queued lines are written below, then the thread ends.
       }
       drainInto(batch);
       if (!writeOut(batch)) {
@@ -96,7 +96,7 @@
       }
       return true;
     } catch (IOException e) {
-      // Nobody reads the log any more; requests go on without it.
+      // The log's output is closed; the node continues without a log.
       return false;
     }
   }
@@ -112,7 +112,10 @@
     }
   }
 
-  /** Writes what is queued and ends the thread. */
+  /**
+   * Writes the queued lines and ends the thread; waits for its end, but no longer than the idle
+   * time.
+   */
   @Override
   public void close() {
     closed = true;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/GatewayEvent.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/GatewayEvent.java
@@ -1,6 +1,6 @@
 package org.baykeel.gateway.telemetry;
 
-/** The closed list of numbered events of the gateway; docs/GATEWAY-EVENTS.md lists them. */
+/** The numbered events of the gateway's log; docs/GATEWAY-EVENTS.md describes each of them. */
 public enum GatewayEvent {
   GATEWAY_STARTED(300),
   GATEWAY_READY(301),
@@ -49,7 +49,7 @@
     this.number = number;
   }
 
-  /** The number of the event; never reused. */
+  /** The event's number in the log; a number is never reused. */
   public int number() {
     return number;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/GatewayLog.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/GatewayLog.java
@@ -1,13 +1,13 @@
 package org.baykeel.gateway.telemetry;
 
-/** Takes structured lines; never blocks. */
+/** The node's structured log of numbered events. Writing never blocks. */
 public interface GatewayLog {
 
   /**
-   * Writes one line.
+   * Writes one event.
    *
-   * @param event what happened
-   * @param fields names and values in turn
+   * @param event the event
+   * @param fields alternating names and values
    */
   void write(GatewayEvent event, Object... fields);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/GatewayMetrics.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/GatewayMetrics.java
@@ -24,8 +24,8 @@
 import org.baykeel.gateway.topology.Locality;
 
 /**
- * Counters and latency histograms of the gateway. Counted on the event loop in plain numbers; the
- * metrics library is loaded only when somebody asks for the figures.
+ * Counters and latency histograms of the gateway. They are updated on the event loop as plain
+ * numbers; the metrics library is loaded only when the metrics are first requested.
  */
 public final class GatewayMetrics {
   private static final long MAX_RECORDED_MILLIS = 60_000;
@@ -48,11 +48,12 @@
   private long failedAttempts;
 
   /**
-   * Counts a call.
+   * Records the end of a call.
    *
-   * @param status the status that the caller got; 0 if its stream was cut
-   * @param millis from its last byte to its end
-   * @param firstMillis from its last byte to its first event; negative if there was none
+   * @param status the status that the caller received; 0 if its stream was interrupted
+   * @param millis the time from the last byte of the call's request to its end, in milliseconds
+   * @param firstMillis the time from the last byte of the request to the first event of the
+   *     response, in milliseconds; negative if there was no event
    */
   public void callEnded(int status, long millis, long firstMillis) {
     callsByStatus.computeIfAbsent(status, key -> new long[1])[0]++;
@@ -62,20 +63,23 @@
     }
   }
 
-  /** Counts a send to an engine by where that is, as seen from this node. */
+  /** Counts an attempt by the locality of the engine relative to this node. */
   public void requestSent(Locality locality) {
     sendsByLocality
         .computeIfAbsent(locality.name().toLowerCase(Locale.ROOT), key -> new long[1])[0]++;
   }
 
-  /** Counts a send to an engine by its place in the engine's queue; negative if it has none. */
+  /**
+   * Counts an attempt by its rank in the engine's queue; a negative rank, of an attempt without
+   * one, is not counted.
+   */
   public void requestRanked(int rank) {
     if (rank >= 0) {
       sendsByRank.computeIfAbsent(rank, key -> new long[1])[0]++;
     }
   }
 
-  /** Counts a send to an engine that brought no whole answer. */
+  /** Counts an attempt without a complete response. */
   public void attemptFailed() {
     failedAttempts++;
   }
@@ -83,35 +87,35 @@
   /**
    * Counts a call to the store.
    *
-   * @param purpose what it is for, one of a few words
+   * @param purpose the kind of call and the table, one of a small set of values
    */
   public void storeCalled(String purpose) {
     storeCalls.computeIfAbsent(purpose, key -> new long[1])[0]++;
     storeCallsToReport.computeIfAbsent(purpose, key -> new long[1])[0]++;
   }
 
-  /** What is counted of the tenants' limits. */
+  /** The counters of the tenants' rate limits. */
   public enum LimitFigure {
-    /** Requests that ran on a token asked for earlier. */
+    /** Requests that used a token of a slice lent to this node earlier. */
     FROM_SLICE,
-    /** Tokens that this node took from its own bucket. */
+    /** Tokens taken from a bucket that this node holds. */
     FROM_OWN_BUCKET,
-    /** Requests of programs that run which waited for their token. */
+    /** Requests of started programs that waited for their token. */
     WAITED,
-    /** Tokens given to other nodes. */
+    /** Tokens lent to other nodes. */
     GIVEN_TO_NODES,
-    /** Tokens that came too late or were not used in time. */
+    /** Tokens that arrived too late or expired unused. */
     LOST,
-    /** Requests beyond their tenant's limit. */
+    /** Requests refused because they exceed their tenant's limit. */
     REFUSED,
-    /** Requests for which nobody could be asked. */
+    /** Requests for which no holder of the limit could be queried in time. */
     UNDECIDED
   }
 
   /**
-   * Counts what became of limits.
+   * Adds to a counter of the rate limits.
    *
-   * @param count how many; 0 counts nothing
+   * @param count the number to add; 0 or less adds nothing
    */
   public void limitCounted(LimitFigure figure, long count) {
     if (count > 0) {
@@ -121,40 +125,43 @@
   }
 
   /**
-   * Counts a verdict on a key.
+   * Counts a checked key.
    *
-   * @param verdict one of a few words
+   * @param verdict the result of the check, one of a small set of values
    */
   public void keyChecked(String verdict) {
     keyVerdicts.computeIfAbsent(verdict, key -> new long[1])[0]++;
   }
 
   /**
-   * Counts a program that asked to begin.
+   * Counts an admission decision on a program.
    *
-   * @param outcome one of a few words
+   * @param outcome admitted, or the cause of the refusal; one of a small set of values
    */
   public void admissionDecided(String outcome) {
     programs.computeIfAbsent(outcome, key -> new long[1])[0]++;
   }
 
   /**
-   * Adds a figure that is read whenever somebody asks for the figures.
+   * Registers a gauge that is read on each request for the metrics.
    *
-   * @param name its name, with its unit
-   * @param value reads it
+   * @param name the name of the metric, with its unit
+   * @param value returns the current value
    */
   public void gauge(String name, LongSupplier value) {
     gauges.put(name, value);
   }
 
-  /** Counts a connection that is opened to an engine. */
+  /** Counts a connection opened to an engine. */
   public void engineConnectionOpened() {
     engineConnections++;
     engineConnectionsToReport++;
   }
 
-  /** Writes what was used since the last such line, if anything was. */
+  /**
+   * Logs the store calls and the connections to engines since the last usage event, if there were
+   * any.
+   */
   public void reportUsage(GatewayLog log) {
     if (storeCallsToReport.isEmpty() && engineConnectionsToReport == 0) {
       return;
@@ -167,7 +174,7 @@
     engineConnectionsToReport = 0;
   }
 
-  /** All figures in the Prometheus text format. */
+  /** Returns all metrics in the Prometheus text format. */
   public byte[] render() {
     CounterSnapshot calls =
         counters(
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/NodeStatusLog.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/NodeStatusLog.java
@@ -3,7 +3,10 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
 
-/** Writes a line whenever a process comes to believe something else about itself or its store. */
+/**
+ * Logs changes of the node's status: whether its configuration is recent, whether it is ready and
+ * whether it reaches the store.
+ */
 public final class NodeStatusLog {
   private final GatewayLog log;
   private final BooleanSupplier configurationRecent;
@@ -15,12 +18,14 @@
   private boolean storeWasReachable;
 
   /**
-   * Creates a log of a process that believes nothing yet.
+   * Creates a log whose first comparison is with a node that has no recent configuration, is not
+   * ready and does not reach the store.
    *
-   * @param configurationRecent whether the configuration is proven recently enough for keys
-   * @param proofAgeMillis how long ago it was proven
-   * @param ready whether new callers should come here
-   * @param storeReachable whether the store answers
+   * @param configurationRecent whether the configuration was confirmed recently enough to check
+   *     keys
+   * @param proofAgeMillis the time since the configuration was confirmed, in milliseconds
+   * @param ready whether new callers should be directed to the node
+   * @param storeReachable whether the node reaches the store
    */
   public NodeStatusLog(
       GatewayLog log,
@@ -35,7 +40,7 @@
     this.storeReachable = storeReachable;
   }
 
-  /** Compares with what was believed before. */
+  /** Writes an event for each status that changed since the last call. */
   public void logChanges() {
     if (configurationRecent.getAsBoolean() != configurationWasRecent) {
       configurationWasRecent = !configurationWasRecent;
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/telemetry/TestAsyncGatewayLog.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/telemetry/TestAsyncGatewayLog.java
@@ -59,7 +59,7 @@
     try {
       assertEquals(true, latch.await(30, TimeUnit.SECONDS));
     } catch (InterruptedException e) {
-      // The writer is closed while its reader is stuck.
+      // The writer is closed while its output is blocked.
       Thread.currentThread().interrupt();
     }
   }
