--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RelaySelector.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/RelaySelector.java
@@ -7,48 +7,49 @@
 import org.baykeel.gateway.peer.PeerAddress;
 
 /**
- * Which node relays calls to the store: one that has done so keeps the task until it fails; then
- * another is picked at random, one of this node's region while there is any. After several failures
- * in a row, no node is asked for a while, since the store is probably away for all.
+ * Selects the node that relays calls to the store. A node that has relayed a call is selected until
+ * it fails; then another is selected at random, from this node's region as long as one remains.
+ * After several consecutive failures no node is selected for a pause, since the store is probably
+ * unreachable from all nodes.
  */
 final class RelaySelector {
-  /** Consecutive failures after which no node is asked for a while. */
+  /** Consecutive failures after which no node is selected for the pause. */
   private static final int FAILURES_UNTIL_PAUSE = 3;
 
   private static final long PAUSE_NANOS = 1_000_000_000L;
 
-  private final RelayCandidates known;
+  private final RelayCandidates candidates;
   private final RandomGenerator random;
   private PeerAddress current;
   private int consecutiveFailures;
   private long pausedUntilNanos;
 
-  RelaySelector(RelayCandidates known, RandomGenerator random) {
-    this.known = known;
+  RelaySelector(RelayCandidates candidates, RandomGenerator random) {
+    this.candidates = candidates;
     this.random = random;
   }
 
   /**
-   * A node to ask.
+   * Selects a node.
    *
-   * @param asked nodes that had the call already
-   * @return a node, or null if none is to be asked now
+   * @param tried the nodes to which the call was already sent
+   * @return a node, or null if none is available or selection is paused
    */
-  PeerAddress next(Collection<PeerAddress> asked, long nowNanos) {
+  PeerAddress next(Collection<PeerAddress> tried, long nowNanos) {
     if (paused(nowNanos)) {
       return null;
     }
-    if (current != null && !asked.contains(current)) {
+    if (current != null && !tried.contains(current)) {
       return current;
     }
-    PeerAddress near = anyOf(known.near(), asked);
-    return near != null ? near : anyOf(known.far(), asked);
+    PeerAddress sameRegion = randomUntried(candidates.sameRegion(), tried);
+    return sameRegion != null ? sameRegion : randomUntried(candidates.otherRegions(), tried);
   }
 
-  private PeerAddress anyOf(Collection<PeerAddress> nodes, Collection<PeerAddress> asked) {
-    List<PeerAddress> candidates = new ArrayList<>(nodes);
-    candidates.removeAll(asked);
-    return candidates.isEmpty() ? null : candidates.get(random.nextInt(candidates.size()));
+  private PeerAddress randomUntried(Collection<PeerAddress> nodes, Collection<PeerAddress> tried) {
+    List<PeerAddress> untried = new ArrayList<>(nodes);
+    untried.removeAll(tried);
+    return untried.isEmpty() ? null : untried.get(random.nextInt(untried.size()));
   }
 
   private boolean paused(long nowNanos) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/NodeStatusLog.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/telemetry/NodeStatusLog.java
@@ -3,44 +3,51 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
 
-/** Writes a line whenever a process comes to believe something else about itself or its store. */
+/**
+ * Logs changes of the node's status: whether its configuration is recent, whether it is ready and
+ * whether it reaches the store.
+ */
 public final class NodeStatusLog {
   private final GatewayLog log;
-  private final BooleanSupplier recent;
+  private final BooleanSupplier configurationRecent;
   private final LongSupplier proofAgeMillis;
   private final BooleanSupplier ready;
   private final BooleanSupplier storeReachable;
-  private boolean wasRecent;
+  private boolean configurationWasRecent;
   private boolean wasReady;
   private boolean storeWasReachable;
 
   /**
-   * Creates a log of a process that believes nothing yet.
+   * Creates a log whose first comparison is with a node that has no recent configuration, is not
+   * ready and does not reach the store.
    *
-   * @param recent whether the configuration is proven recently enough for keys
-   * @param proofAgeMillis how long ago it was proven
-   * @param ready whether new callers should come here
-   * @param storeReachable whether the store answers
+   * @param configurationRecent whether the configuration was confirmed recently enough to check
+   *     keys
+   * @param proofAgeMillis the time since the configuration was confirmed, in milliseconds
+   * @param ready whether new callers should be directed to the node
+   * @param storeReachable whether the node reaches the store
    */
   public NodeStatusLog(
       GatewayLog log,
-      BooleanSupplier recent,
+      BooleanSupplier configurationRecent,
       LongSupplier proofAgeMillis,
       BooleanSupplier ready,
       BooleanSupplier storeReachable) {
     this.log = log;
-    this.recent = recent;
+    this.configurationRecent = configurationRecent;
     this.proofAgeMillis = proofAgeMillis;
     this.ready = ready;
     this.storeReachable = storeReachable;
   }
 
-  /** Compares with what was believed before. */
+  /** Writes an event for each status that changed since the last call. */
   public void logChanges() {
-    if (recent.getAsBoolean() != wasRecent) {
-      wasRecent = !wasRecent;
+    if (configurationRecent.getAsBoolean() != configurationWasRecent) {
+      configurationWasRecent = !configurationWasRecent;
       log.write(
-          wasRecent ? GatewayEvent.CONFIGURATION_RECENT : GatewayEvent.CONFIGURATION_STALE,
+          configurationWasRecent
+              ? GatewayEvent.CONFIGURATION_RECENT
+              : GatewayEvent.CONFIGURATION_STALE,
           "proven_ms_ago",
           proofAgeMillis.getAsLong());
     }
