--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/buffering/CallerFlow.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/buffering/CallerFlow.java
@@ -6,7 +6,7 @@
  * what is left of an answer stays counted after its call.
  */
 public final class CallerFlow {
-  private final HeldBytesLimiter node;
+  private final HeldBytesLimiter limiter;
   private final SlowCallerListener listener;
   private ResponseSource source = ResponseSource.NONE;
   private long held;
@@ -24,11 +24,11 @@
      * @param nodeHeld bytes that the node held for all callers
      * @param unreadMillis for how long it has read nothing
      */
-    void callerTooSlow(long held, long nodeHeld, long unreadMillis);
+    void onSlowCaller(long held, long nodeHeld, long unreadMillis);
   }
 
-  CallerFlow(HeldBytesLimiter node, SlowCallerListener listener) {
-    this.node = node;
+  CallerFlow(HeldBytesLimiter limiter, SlowCallerListener listener) {
+    this.limiter = limiter;
     this.listener = listener;
   }
 
@@ -46,16 +46,16 @@
       return;
     }
     if (held == 0) {
-      unreadSinceNanos = node.nanoTime();
+      unreadSinceNanos = limiter.nanoTime();
     }
     held += bytes;
-    node.held(this, bytes);
+    limiter.onHeld(this, bytes);
   }
 
   /** The caller has read some of what was held. */
   public void delivered(long bytes) {
     if (!closed) {
-      unreadSinceNanos = node.nanoTime();
+      unreadSinceNanos = limiter.nanoTime();
       release(bytes);
     }
   }
@@ -64,7 +64,7 @@
   public void release(long bytes) {
     if (!closed && bytes > 0) {
       held -= bytes;
-      node.taken(this, bytes);
+      limiter.onReleased(this, bytes);
     }
   }
 
@@ -75,10 +75,10 @@
     closed = true;
   }
 
-  void giveUp(long nodeHeld, long unreadMillis) {
+  void abandon(long nodeHeld, long unreadMillis) {
     long before = held;
     close();
-    listener.callerTooSlow(before, nodeHeld, unreadMillis);
+    listener.onSlowCaller(before, nodeHeld, unreadMillis);
   }
 
   void pause() {
@@ -114,7 +114,7 @@
     return source != ResponseSource.NONE;
   }
 
-  boolean holdsBackSource() {
+  boolean pausesSource() {
     return paused && hasSource();
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/buffering/HeldBytesLimiter.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/buffering/HeldBytesLimiter.java
@@ -19,7 +19,7 @@
  * does, is given up.
  */
 public final class HeldBytesLimiter {
-  private static final Comparator<CallerFlow> GIVES_WAY_FIRST =
+  private static final Comparator<CallerFlow> MOST_HELD_FIRST =
       Comparator.comparingLong(CallerFlow::held)
           .reversed()
           .thenComparingLong(CallerFlow::unreadSinceNanos);
@@ -28,7 +28,7 @@
   private final EventLoop eventLoop;
   private final Set<CallerFlow> holding = new LinkedHashSet<>();
   private long totalBytes;
-  private boolean full;
+  private boolean nodeAtLimit;
 
   /**
    * How much may be held.
@@ -88,46 +88,46 @@
 
   /** Calls whose engines are not read at the moment. */
   public long pausedCalls() {
-    return holding.stream().filter(CallerFlow::holdsBackSource).count();
+    return holding.stream().filter(CallerFlow::pausesSource).count();
   }
 
   long nanoTime() {
     return eventLoop.nanoTime();
   }
 
-  void held(CallerFlow flow, long bytes) {
+  void onHeld(CallerFlow flow, long bytes) {
     totalBytes += bytes;
     holding.add(flow);
     if (flow.held() >= bounds.callBytes()) {
       flow.pause();
     }
     if (totalBytes >= bounds.nodeBytes()) {
-      full = true;
-      pauseOne();
+      nodeAtLimit = true;
+      pauseMostHeld();
     }
   }
 
-  private void pauseOne() {
+  private void pauseMostHeld() {
     holding.stream()
         .filter(flow -> flow.hasSource() && !flow.paused())
-        .min(GIVES_WAY_FIRST)
+        .min(MOST_HELD_FIRST)
         .ifPresent(CallerFlow::pause);
   }
 
-  void taken(CallerFlow flow, long bytes) {
+  void onReleased(CallerFlow flow, long bytes) {
     totalBytes -= bytes;
     if (flow.held() == 0) {
       holding.remove(flow);
     }
-    if (full && totalBytes <= bounds.nodeResumeBytes()) {
-      full = false;
-      List.copyOf(holding).forEach(this::resumeIfRead);
+    if (nodeAtLimit && totalBytes <= bounds.nodeResumeBytes()) {
+      nodeAtLimit = false;
+      List.copyOf(holding).forEach(this::resumeIfDrained);
     }
-    resumeIfRead(flow);
+    resumeIfDrained(flow);
   }
 
-  private void resumeIfRead(CallerFlow flow) {
-    if (flow.held() <= (full ? 0 : bounds.callResumeBytes())) {
+  private void resumeIfDrained(CallerFlow flow) {
+    if (flow.held() <= (nodeAtLimit ? 0 : bounds.callResumeBytes())) {
       flow.resume();
     }
   }
@@ -138,13 +138,13 @@
       return;
     }
     List<CallerFlow> slowest = new ArrayList<>(holding);
-    slowest.sort(GIVES_WAY_FIRST);
+    slowest.sort(MOST_HELD_FIRST);
     for (CallerFlow flow : slowest) {
       long unreadMillis = (nanoTime() - flow.unreadSinceNanos()) / 1_000_000;
       if (totalBytes >= bounds.nodeBytes()
           && flow.held() >= bounds.callBytes()
           && unreadMillis >= bounds.unreadMillis()) {
-        flow.giveUp(totalBytes, unreadMillis);
+        flow.abandon(totalBytes, unreadMillis);
       }
     }
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/EngineConnection.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/EngineConnection.java
@@ -26,28 +26,28 @@
    * A request on a kept connection that is given up after this time without one byte says something
    * about the connection; callers that leave sooner don't.
    */
-  private static final long SILENT_NANOS = 500_000_000L;
+  private static final long MIN_SILENT_NANOS = 500_000_000L;
 
-  private final EngineConnectionPool owner;
+  private final EngineConnectionPool pool;
   private final CallTranslator translator;
   private Channel channel;
   private PendingExchange current;
   private ChannelFuture written;
   private boolean reusable = true;
   private boolean releasable;
-  private boolean answerBegun;
+  private boolean responseStarted;
   private boolean skipping;
   private boolean informational;
-  private boolean used;
-  private boolean heldBack;
-  private boolean closedNoted;
+  private boolean reused;
+  private boolean readingPaused;
+  private boolean closeRecorded;
   private long idleMillis = DEFAULT_IDLE_MILLIS;
   private long idleUntilNanos;
   private long sentNanos;
   private String failure = "closed";
 
-  EngineConnection(EngineConnectionPool owner, CallTranslator translator) {
-    this.owner = owner;
+  EngineConnection(EngineConnectionPool pool, CallTranslator translator) {
+    this.pool = pool;
     this.translator = translator;
   }
 
@@ -61,8 +61,8 @@
   }
 
   boolean markClosed() {
-    boolean first = !closedNoted;
-    closedNoted = true;
+    boolean first = !closeRecorded;
+    closeRecorded = true;
     return first;
   }
 
@@ -75,15 +75,20 @@
    *
    * @return milliseconds for which nothing came on a connection that was kept; 0 if that is not so
    */
-  long giveUp() {
+  long abandon() {
     long nanos = System.nanoTime() - sentNanos;
-    boolean silent = used && !heldBack && current != null && !answerBegun && nanos >= SILENT_NANOS;
+    boolean silent =
+        reused
+            && !readingPaused
+            && current != null
+            && !responseStarted
+            && nanos >= MIN_SILENT_NANOS;
     close();
     return silent ? nanos / 1_000_000 : 0;
   }
 
   void pauseReading() {
-    heldBack = true;
+    readingPaused = true;
     channel.config().setAutoRead(false);
   }
 
@@ -91,14 +96,14 @@
     channel.config().setAutoRead(true);
   }
 
-  EngineConnectionPool owner() {
-    return owner;
+  EngineConnectionPool pool() {
+    return pool;
   }
 
   void send(PendingExchange exchange) {
     current = exchange;
-    answerBegun = false;
-    heldBack = false;
+    responseStarted = false;
+    readingPaused = false;
     exchange.attach(this);
     sentNanos = System.nanoTime();
     written = channel.writeAndFlush(exchange.request());
@@ -142,22 +147,22 @@
     }
     ResponseTraits traits = translator.responseTraits(response);
     boolean own = current.requestId().equals(traits.requestId());
-    if (!own && (traits.requestId() != null || used)) {
+    if (!own && (traits.requestId() != null || reused)) {
       skipping = true;
       reusable = false;
       return;
     }
-    answerBegun = true;
+    responseStarted = true;
     boolean framed =
         HttpUtil.isTransferEncodingChunked(response) || HttpUtil.isContentLengthSet(response);
     reusable = reusable && framed && HttpUtil.isKeepAlive(response);
-    noteKeepAlive(response.headers().get("Keep-Alive"));
+    readKeepAlive(response.headers().get("Keep-Alive"));
     current.head(
         new ResponseHead(
             response.status().code(), HopByHopHeaders.copyWithout(response.headers()), traits));
   }
 
-  private void noteKeepAlive(String keepAlive) {
+  private void readKeepAlive(String keepAlive) {
     if (keepAlive == null) {
       return;
     }
@@ -183,7 +188,7 @@
       skipping = !last;
       return;
     }
-    if (!answerBegun) {
+    if (!responseStarted) {
       return;
     }
     int length = content.content().readableBytes();
@@ -193,22 +198,22 @@
       current.body(bytes);
     }
     if (last && current != null) {
-      completeAnswer();
+      completeResponse();
     }
   }
 
-  private void completeAnswer() {
-    PendingExchange whole = current;
+  private void completeResponse() {
+    PendingExchange completed = current;
     current = null;
-    used = true;
+    reused = true;
     // A connection that rests must notice its end.
     resumeReading();
     // An answer that came before the whole request was written leaves the rest of it due.
-    releasable = reusable && written.isDone() && channel.isActive() && !whole.cancelled();
+    releasable = reusable && written.isDone() && channel.isActive() && !completed.cancelled();
     if (!releasable) {
       close();
     }
-    whole.complete();
+    completed.complete();
   }
 
   @Override
@@ -216,28 +221,28 @@
     if (releasable) {
       releasable = false;
       idleUntilNanos = System.nanoTime() + idleMillis * 1_000_000;
-      owner.release(this);
+      pool.release(this);
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    owner.closed(this);
-    breakCurrent();
+    pool.onClosed(this);
+    failCurrent();
   }
 
-  private void breakCurrent() {
+  private void failCurrent() {
     if (current != null) {
       PendingExchange broken = current;
       current = null;
-      broken.fail(Failure.BROKEN, failure + (used ? ", kept connection" : ", new connection"));
+      broken.fail(Failure.BROKEN, failure + (reused ? ", kept connection" : ", new connection"));
     }
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     failure = String.valueOf(cause.getMessage());
-    breakCurrent();
+    failCurrent();
     close();
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/EngineConnectionPool.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/EngineConnectionPool.java
@@ -23,7 +23,7 @@
     return open;
   }
 
-  void opened() {
+  void onOpened() {
     open++;
   }
 
@@ -49,14 +49,14 @@
    *
    * @return how many are given up
    */
-  int dropIdle() {
-    List<EngineConnection> resting = new ArrayList<>(idle);
+  int closeIdle() {
+    List<EngineConnection> closing = new ArrayList<>(idle);
     idle.clear();
-    resting.forEach(EngineConnection::close);
-    return resting.size();
+    closing.forEach(EngineConnection::close);
+    return closing.size();
   }
 
-  void closed(EngineConnection connection) {
+  void onClosed(EngineConnection connection) {
     if (connection.markClosed()) {
       open--;
       idle.remove(connection);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/HttpLoadReportClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/HttpLoadReportClient.java
@@ -26,7 +26,7 @@
  */
 public final class HttpLoadReportClient implements LoadReportClient {
   /** What an engine may take to answer besides the way there and back. */
-  private static final long ANSWER_MILLIS = 100;
+  private static final long RESPONSE_MILLIS = 100;
 
   private static final int OK = 200;
 
@@ -37,28 +37,28 @@
   private static final long SWEEP_MILLIS = 1_000;
 
   /** Longer than the slow interval of questions. */
-  private static final long UNUSED_NANOS = 3_000_000_000L;
+  private static final long IDLE_NANOS = 3_000_000_000L;
 
   private final EventLoopGroup group;
   private final LoadReportFormat format;
   private final RoundTrips roundTrips;
   private final GatewayMetrics metrics;
   private final GatewayLog log;
-  private final Map<String, Asked> askedById = new HashMap<>();
+  private final Map<String, QueriedEngine> queriedById = new HashMap<>();
 
   /** An engine that is asked. */
-  private static final class Asked {
+  private static final class QueriedEngine {
     private final EngineRecord record;
-    private final PooledHttpClient caller;
-    private boolean underWay;
-    private long askedNanos;
+    private final PooledHttpClient client;
+    private boolean queryInProgress;
+    private long sentNanos;
 
-    Asked(EngineRecord record, PooledHttpClient caller) {
+    QueriedEngine(EngineRecord record, PooledHttpClient client) {
       this.record = record;
-      this.caller = caller;
+      this.client = client;
     }
 
-    boolean at(EngineRecord other) {
+    boolean isAt(EngineRecord other) {
       return record.host().equals(other.host()) && record.port() == other.port();
     }
   }
@@ -87,44 +87,45 @@
   }
 
   @Override
-  public void query(Engine engine, Consumer<LoadQueryResult> answer) {
-    Asked asked = askedAt(engine.record());
-    if (asked.underWay) {
+  public void query(Engine engine, Consumer<LoadQueryResult> callback) {
+    QueriedEngine queried = queriedAt(engine.record());
+    if (queried.queryInProgress) {
       group
           .next()
-          .execute(() -> answer.accept(new LoadQueryResult.NoResponse("a question is under way")));
+          .execute(
+              () -> callback.accept(new LoadQueryResult.NoResponse("a question is under way")));
       return;
     }
-    asked.underWay = true;
-    asked.askedNanos = System.nanoTime();
+    queried.queryInProgress = true;
+    queried.sentNanos = System.nanoTime();
     long timeoutMillis =
-        (long) Math.ceil(roundTrips.millisTo(engine.record().zone())) + ANSWER_MILLIS;
-    asked.caller.call(
+        (long) Math.ceil(roundTrips.millisTo(engine.record().zone())) + RESPONSE_MILLIS;
+    queried.client.call(
         new StoreCall(StoreCall.Method.GET, format.path(), null, timeoutMillis, false),
         reply -> {
-          asked.underWay = false;
-          answer.accept(read(reply, asked.askedNanos));
+          queried.queryInProgress = false;
+          callback.accept(read(reply, queried.sentNanos));
         });
   }
 
   /** An engine that comes back at another address is called there. */
-  private Asked askedAt(EngineRecord record) {
-    Asked known = askedById.get(record.id());
-    if (known != null && known.at(record)) {
+  private QueriedEngine queriedAt(EngineRecord record) {
+    QueriedEngine known = queriedById.get(record.id());
+    if (known != null && known.isAt(record)) {
       return known;
     }
     if (known != null) {
-      known.caller.closeIdle();
+      known.client.closeIdle();
     }
     InetSocketAddress address = new InetSocketAddress(record.host(), record.port());
-    PooledHttpClient caller =
+    PooledHttpClient client =
         new PooledHttpClient(group, address, "engine", metrics::engineConnectionOpened, log);
-    Asked asked = new Asked(record, caller);
-    askedById.put(record.id(), asked);
-    return asked;
+    QueriedEngine queried = new QueriedEngine(record, client);
+    queriedById.put(record.id(), queried);
+    return queried;
   }
 
-  private LoadQueryResult read(StoreReply reply, long askedNanos) {
+  private LoadQueryResult read(StoreReply reply, long sentNanos) {
     if (reply instanceof StoreReply.Answered answered) {
       if (answered.status() >= SERVER_ERROR) {
         return new LoadQueryResult.NoResponse("status " + answered.status());
@@ -133,9 +134,9 @@
         return new LoadQueryResult.Unavailable("status " + answered.status());
       }
       Optional<LoadReport> report = format.decode(answered.body());
-      long asOf = askedNanos - format.lagMillis() * NANOS_PER_MILLI;
+      long asOf = sentNanos - format.lagMillis() * NANOS_PER_MILLI;
       return report
-          .<LoadQueryResult>map(told -> new LoadQueryResult.Reported(told, asOf))
+          .<LoadQueryResult>map(decoded -> new LoadQueryResult.Reported(decoded, asOf))
           .orElseGet(() -> new LoadQueryResult.Unavailable("no report"));
     }
     return reply instanceof StoreReply.Lost lost
@@ -145,10 +146,10 @@
 
   private void sweep() {
     long now = System.nanoTime();
-    for (Iterator<Asked> all = askedById.values().iterator(); all.hasNext(); ) {
-      Asked asked = all.next();
-      if (!asked.underWay && now - asked.askedNanos >= UNUSED_NANOS) {
-        asked.caller.closeIdle();
+    for (Iterator<QueriedEngine> all = queriedById.values().iterator(); all.hasNext(); ) {
+      QueriedEngine queried = all.next();
+      if (!queried.queryInProgress && now - queried.sentNanos >= IDLE_NANOS) {
+        queried.client.closeIdle();
         all.remove();
       }
     }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/IngressConnection.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/IngressConnection.java
@@ -64,7 +64,7 @@
   private CallAttributes attributes;
   private ByteArrayOutputStream body;
   private ClientCall call;
-  private boolean answering;
+  private boolean responding;
   private boolean keepAlive = true;
   private boolean discarding;
   private long lastActivityNanos = System.nanoTime();
@@ -80,7 +80,7 @@
     this.translator = translator;
     this.state = state;
     this.log = log;
-    this.flow = server.held().open(this::closeTooSlow);
+    this.flow = server.held().open(this::closeSlowCaller);
   }
 
   @Override
@@ -90,14 +90,14 @@
 
   /** Whether a request is under way, or a part of its answer is not read yet. */
   boolean active() {
-    return answering || head != null || flow.held() > 0;
+    return responding || head != null || flow.held() > 0;
   }
 
   void close() {
     context.close();
   }
 
-  private void closeTooSlow(long held, long nodeHeld, long unreadMillis) {
+  private void closeSlowCaller(long held, long nodeHeld, long unreadMillis) {
     log.write(
         GatewayEvent.CALLER_TOO_SLOW,
         "id",
@@ -112,11 +112,11 @@
   }
 
   void closeIfStalled(long now, RequestLimits limits) {
-    if (answering) {
+    if (responding) {
       return;
     }
-    long quietMillis = (now - lastActivityNanos) / 1_000_000;
-    if (quietMillis > (head != null ? limits.headerTimeoutMillis() : limits.idleTimeoutMillis())) {
+    long idleMillis = (now - lastActivityNanos) / 1_000_000;
+    if (idleMillis > (head != null ? limits.headerTimeoutMillis() : limits.idleTimeoutMillis())) {
       context.close();
     }
   }
@@ -130,7 +130,7 @@
       ReferenceCountUtil.release(message);
       return;
     }
-    if (answering) {
+    if (responding) {
       queued.add(object);
       if (queued.size() > MAX_QUEUED_OBJECTS) {
         context.channel().config().setAutoRead(false);
@@ -203,7 +203,7 @@
       refuseAndClose(e.kind(), e.getMessage());
       return;
     }
-    answering = true;
+    responding = true;
     CallRequest callRequest =
         new CallRequest(
             request.method().name(),
@@ -215,7 +215,7 @@
             System.nanoTime());
     body = null;
     ClientCall started = coordinator.accept(callRequest, this);
-    if (answering) {
+    if (responding) {
       call = started;
     }
   }
@@ -255,13 +255,13 @@
   }
 
   /** Counts bytes as held until the caller has taken them, if it has not yet. */
-  private void count(ChannelFuture written, int bytes) {
+  private void countUntilDelivered(ChannelFuture written, int bytes) {
     if (written.isDone()) {
       return;
     }
     flow.hold(bytes);
     written.addListener(
-        taken -> {
+        completed -> {
           lastActivityNanos = System.nanoTime();
           flow.delivered(bytes);
         });
@@ -297,9 +297,9 @@
       parts.add(context.write(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes, from, length))));
     }
     context.write(LastHttpContent.EMPTY_LAST_CONTENT);
-    finishAnswer(keep);
+    finishResponse(keep);
     for (int i = 0; i < parts.size(); i++) {
-      count(parts.get(i), Math.min(PART_BYTES, bytes.length - i * PART_BYTES));
+      countUntilDelivered(parts.get(i), Math.min(PART_BYTES, bytes.length - i * PART_BYTES));
     }
   }
 
@@ -317,18 +317,18 @@
   @Override
   public void sendEvent(byte[] bytes) {
     HttpContent content = new DefaultHttpContent(Unpooled.wrappedBuffer(bytes));
-    count(context.writeAndFlush(content), bytes.length);
+    countUntilDelivered(context.writeAndFlush(content), bytes.length);
   }
 
   @Override
   public void endStream() {
     context.write(LastHttpContent.EMPTY_LAST_CONTENT);
-    finishAnswer(keepAlive);
+    finishResponse(keepAlive);
   }
 
   @Override
   public void abortStream() {
-    answering = false;
+    responding = false;
     call = null;
     discarding = true;
     context.close();
@@ -342,8 +342,8 @@
     return keep;
   }
 
-  private void finishAnswer(boolean keep) {
-    answering = false;
+  private void finishResponse(boolean keep) {
+    responding = false;
     call = null;
     head = null;
     lastActivityNanos = System.nanoTime();
@@ -357,10 +357,10 @@
       return;
     }
     context.flush();
-    while (!answering && !queued.isEmpty()) {
+    while (!responding && !queued.isEmpty()) {
       read(queued.poll());
     }
-    if (!answering && !context.channel().config().isAutoRead()) {
+    if (!responding && !context.channel().config().isAutoRead()) {
       context.channel().config().setAutoRead(true);
     }
   }
@@ -371,11 +371,11 @@
     flow.close();
     queued.forEach(ReferenceCountUtil::release);
     queued.clear();
-    ClientCall left = call;
+    ClientCall abandoned = call;
     call = null;
-    answering = false;
-    if (left != null) {
-      left.callerDisconnected();
+    responding = false;
+    if (abandoned != null) {
+      abandoned.callerDisconnected();
     }
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/NettyEngineTransport.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/NettyEngineTransport.java
@@ -36,7 +36,7 @@
   private final GatewayLog log;
 
   /** By life of an engine: no request to a later life goes over a connection to a former one. */
-  private final Map<Engine, EngineConnectionPool> byEngine = new IdentityHashMap<>();
+  private final Map<Engine, EngineConnectionPool> poolByEngine = new IdentityHashMap<>();
 
   /**
    * Creates a transport without connections.
@@ -62,37 +62,37 @@
 
   @Override
   public Exchange send(Engine engine, EngineRequest request, Listener listener) {
-    EngineConnectionPool connections = byEngine.computeIfAbsent(engine, EngineConnectionPool::new);
+    EngineConnectionPool pool = poolByEngine.computeIfAbsent(engine, EngineConnectionPool::new);
     PendingExchange exchange =
         new PendingExchange(
             request.source().attributes().requestId(),
             encode(request, engine),
             listener,
             this::onSilence);
-    EngineConnection idle = connections.takeIdle(System.nanoTime());
+    EngineConnection idle = pool.takeIdle(System.nanoTime());
     if (idle != null) {
       idle.send(exchange);
-    } else if (connections.open() >= MAX_CONNECTIONS_PER_ENGINE) {
+    } else if (pool.open() >= MAX_CONNECTIONS_PER_ENGINE) {
       // The listener must not be called before its owner holds the exchange.
       group.next().execute(() -> exchange.fail(Failure.NOT_SENT, "connection limit"));
     } else {
-      connect(engine, connections, exchange);
+      connect(engine, pool, exchange);
     }
     return exchange;
   }
 
-  private void onSilence(EngineConnectionPool connections, long millis) {
-    int resting = connections.dropIdle();
+  private void onSilence(EngineConnectionPool pool, long millis) {
+    int closed = pool.closeIdle();
     log.write(
         GatewayEvent.CONNECTION_SILENT,
         "kind",
         "engine",
         "address",
-        connections.engine().record().id(),
+        pool.engine().record().id(),
         "ms",
         millis,
         "resting",
-        resting);
+        closed);
   }
 
   private FullHttpRequest encode(EngineRequest request, Engine engine) {
@@ -109,11 +109,11 @@
     return encoded;
   }
 
-  private void connect(Engine engine, EngineConnectionPool connections, PendingExchange exchange) {
-    EngineConnection connection = new EngineConnection(connections, translator);
-    connections.opened();
+  private void connect(Engine engine, EngineConnectionPool pool, PendingExchange exchange) {
+    EngineConnection connection = new EngineConnection(pool, translator);
+    pool.onOpened();
     metrics.engineConnectionOpened();
-    long begunNanos = System.nanoTime();
+    long startNanos = System.nanoTime();
     KeepAliveBootstrap.bootstrap(group, CONNECT_TIMEOUT_MILLIS)
         .handler(
             new ChannelInitializer<SocketChannel>() {
@@ -130,10 +130,10 @@
         .addListener(
             future -> {
               if (future.isSuccess()) {
-                noteRoundTrip(engine, begunNanos);
+                recordRoundTrip(engine, startNanos);
               }
               if (!future.isSuccess()) {
-                connections.closed(connection);
+                pool.onClosed(connection);
                 exchange.fail(Failure.NOT_SENT, "connect " + future.cause().getMessage());
               } else if (exchange.cancelled()) {
                 connection.close();
@@ -143,18 +143,18 @@
             });
   }
 
-  private void noteRoundTrip(Engine engine, long begunNanos) {
+  private void recordRoundTrip(Engine engine, long startNanos) {
     long now = System.nanoTime();
-    roundTrips.observe(engine.record().zone(), (now - begunNanos) / 1e6, now);
+    roundTrips.observe(engine.record().zone(), (now - startNanos) / 1e6, now);
   }
 
   private void sweep() {
     long now = System.nanoTime();
-    Iterator<EngineConnectionPool> all = byEngine.values().iterator();
+    Iterator<EngineConnectionPool> all = poolByEngine.values().iterator();
     while (all.hasNext()) {
-      EngineConnectionPool connections = all.next();
-      connections.closeExpired(now);
-      if (connections.open() == 0 && connections.engine().removed()) {
+      EngineConnectionPool pool = all.next();
+      pool.closeExpired(now);
+      if (pool.open() == 0 && pool.engine().removed()) {
         all.remove();
       }
     }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/PendingExchange.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/PendingExchange.java
@@ -23,7 +23,7 @@
      * @param connections those to the same engine
      * @param millis how long nothing came
      */
-    void silent(EngineConnectionPool connections, long millis);
+    void onSilent(EngineConnectionPool connections, long millis);
   }
 
   PendingExchange(
@@ -45,8 +45,8 @@
     return request;
   }
 
-  void attach(EngineConnection carrier) {
-    connection = carrier;
+  void attach(EngineConnection engineConnection) {
+    connection = engineConnection;
     if (paused) {
       connection.pauseReading();
     }
@@ -60,9 +60,9 @@
   public void cancel() {
     cancelled = true;
     if (connection != null && !ended) {
-      long silentMillis = connection.giveUp();
+      long silentMillis = connection.abandon();
       if (silentMillis > 0) {
-        onSilence.silent(connection.owner(), silentMillis);
+        onSilence.onSilent(connection.pool(), silentMillis);
       }
     }
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/PooledHttpClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/PooledHttpClient.java
@@ -32,7 +32,7 @@
 /** Makes HTTP calls to one address over kept connections, one call at a time on each. */
 public final class PooledHttpClient implements StoreClient {
   private static final int CONNECT_TIMEOUT_MILLIS = 400;
-  private static final int MAX_ANSWER_BYTES = 16 << 20;
+  private static final int MAX_RESPONSE_BYTES = 16 << 20;
   private static final int MAX_IDLE = 8;
   private static final long MAX_IDLE_NANOS = 5_000_000_000L;
 
@@ -73,7 +73,7 @@
   }
 
   @Override
-  public void call(StoreCall call, Consumer<StoreReply> answer) {
+  public void call(StoreCall call, Consumer<StoreReply> callback) {
     byte[] body = call.body();
     long timeoutMillis = call.timeoutMillis();
     FullHttpRequest request =
@@ -89,9 +89,9 @@
     }
     Connection connection = takeIdle();
     if (connection != null) {
-      connection.send(request, timeoutMillis, answer);
+      connection.send(request, timeoutMillis, callback);
     } else {
-      connect(request, timeoutMillis, answer);
+      connect(request, timeoutMillis, callback);
     }
   }
 
@@ -113,13 +113,13 @@
    * @return how many there were
    */
   int closeIdle() {
-    List<Connection> resting = new ArrayList<>(idle);
+    List<Connection> closed = new ArrayList<>(idle);
     idle.clear();
-    resting.forEach(connection -> connection.channel.close());
-    return resting.size();
+    closed.forEach(connection -> connection.channel.close());
+    return closed.size();
   }
 
-  private void connect(FullHttpRequest request, long timeoutMillis, Consumer<StoreReply> answer) {
+  private void connect(FullHttpRequest request, long timeoutMillis, Consumer<StoreReply> callback) {
     Connection connection = new Connection();
     onConnect.run();
     KeepAliveBootstrap.bootstrap(group, CONNECT_TIMEOUT_MILLIS)
@@ -130,7 +130,7 @@
                 channel
                     .pipeline()
                     .addLast(new HttpClientCodec())
-                    .addLast(new HttpObjectAggregator(MAX_ANSWER_BYTES))
+                    .addLast(new HttpObjectAggregator(MAX_RESPONSE_BYTES))
                     .addLast(connection);
               }
             })
@@ -138,10 +138,11 @@
         .addListener(
             future -> {
               if (future.isSuccess()) {
-                connection.send(request, timeoutMillis, answer);
+                connection.send(request, timeoutMillis, callback);
               } else {
                 request.release();
-                answer.accept(new StoreReply.NotSent(String.valueOf(future.cause().getMessage())));
+                callback.accept(
+                    new StoreReply.NotSent(String.valueOf(future.cause().getMessage())));
               }
             });
   }
@@ -149,7 +150,7 @@
   /** One kept connection. */
   private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private Channel channel;
-    private Consumer<StoreReply> waiting;
+    private Consumer<StoreReply> pendingCallback;
     private Future<?> timeout;
     private long idleSinceNanos;
 
@@ -158,8 +159,8 @@
       channel = context.channel();
     }
 
-    void send(FullHttpRequest request, long timeoutMillis, Consumer<StoreReply> answer) {
-      waiting = answer;
+    void send(FullHttpRequest request, long timeoutMillis, Consumer<StoreReply> callback) {
+      pendingCallback = callback;
       timeout =
           channel
               .eventLoop()
@@ -169,34 +170,34 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-      if (response.decoderResult().isFailure() || waiting == null) {
-        lose("not an answer");
+      if (response.decoderResult().isFailure() || pendingCallback == null) {
+        fail("not an answer");
         return;
       }
       byte[] body = new byte[response.content().readableBytes()];
       response.content().readBytes(body);
-      Consumer<StoreReply> answer = takeWaiting();
+      Consumer<StoreReply> callback = takePendingCallback();
       if (HttpUtil.isKeepAlive(response) && idle.size() < MAX_IDLE) {
         idleSinceNanos = System.nanoTime();
         idle.addLast(this);
       } else {
         channel.close();
       }
-      answer.accept(new StoreReply.Answered(response.status().code(), body));
+      callback.accept(new StoreReply.Answered(response.status().code(), body));
     }
 
-    private Consumer<StoreReply> takeWaiting() {
-      Consumer<StoreReply> answer = waiting;
-      waiting = null;
+    private Consumer<StoreReply> takePendingCallback() {
+      Consumer<StoreReply> callback = pendingCallback;
+      pendingCallback = null;
       if (timeout != null) {
         timeout.cancel(false);
       }
-      return answer;
+      return callback;
     }
 
     /** The connection may have fallen silent for good, and those that rest with it. */
     private void onTimeout(long timeoutMillis) {
-      int resting = closeIdle();
+      int closed = closeIdle();
       log.write(
           GatewayEvent.CONNECTION_SILENT,
           "kind",
@@ -206,27 +207,27 @@
           "ms",
           timeoutMillis,
           "resting",
-          resting);
-      lose("time-out");
+          closed);
+      fail("time-out");
     }
 
-    private void lose(String reason) {
+    private void fail(String reason) {
       idle.remove(this);
       channel.close();
-      Consumer<StoreReply> answer = takeWaiting();
-      if (answer != null) {
-        answer.accept(new StoreReply.Lost(reason));
+      Consumer<StoreReply> callback = takePendingCallback();
+      if (callback != null) {
+        callback.accept(new StoreReply.Lost(reason));
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      lose("closed");
+      fail("closed");
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      lose(String.valueOf(cause.getMessage()));
+      fail(String.valueOf(cause.getMessage()));
     }
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/ReadinessServer.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/ReadinessServer.java
@@ -69,13 +69,13 @@
   private final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-      boolean askedForMetrics = request.uri().equals(METRICS_PATH);
+      boolean metricsRequested = request.uri().equals(METRICS_PATH);
       boolean isReady = ready.getAsBoolean();
-      byte[] text = askedForMetrics ? metrics.render() : readiness(isReady);
+      byte[] text = metricsRequested ? metrics.render() : readiness(isReady);
       FullHttpResponse response =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1,
-              isReady || askedForMetrics
+              isReady || metricsRequested
                   ? HttpResponseStatus.OK
                   : HttpResponseStatus.SERVICE_UNAVAILABLE,
               Unpooled.wrappedBuffer(text));
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkChannel.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkChannel.java
@@ -30,10 +30,10 @@
         .addLast(
             new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
         .addLast(new LengthFieldPrepender(LENGTH_BYTES))
-        .addLast(new Reader(onMessage, onClosed));
+        .addLast(new MessageHandler(onMessage, onClosed));
   }
 
-  static ByteBuf frame(LinkMessage message) {
+  static ByteBuf encodeFrame(LinkMessage message) {
     return Unpooled.wrappedBuffer(LinkCodec.encode(message));
   }
 
@@ -41,11 +41,11 @@
    * Hands messages on and passes over those of a kind that is not known here; a connection with
    * anything else on it is closed.
    */
-  private static final class Reader extends SimpleChannelInboundHandler<ByteBuf> {
+  private static final class MessageHandler extends SimpleChannelInboundHandler<ByteBuf> {
     private final Consumer<LinkMessage> onMessage;
     private final Runnable onClosed;
 
-    Reader(Consumer<LinkMessage> onMessage, Runnable onClosed) {
+    MessageHandler(Consumer<LinkMessage> onMessage, Runnable onClosed) {
       this.onMessage = onMessage;
       this.onClosed = onClosed;
     }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkClient.java
@@ -35,7 +35,7 @@
    * A little work at a slow node; after it the store is asked. Two ways there and back, as
    * measured, come on top: one to connect and one to ask.
    */
-  private static final long HANDOVER_MILLIS = 50;
+  private static final long HANDOVER_WORK_MILLIS = 50;
 
   private static final int HANDOVER_ROUND_TRIPS = 2;
 
@@ -43,22 +43,22 @@
   private static final long SWEEP_MILLIS = 2_000;
 
   /** How long a silent connection is left open; longer than any call made through another node. */
-  private static final long ABANDONED_MILLIS = 4_000;
+  private static final long ABANDONED_CLOSE_DELAY_MILLIS = 4_000;
 
   private final EventLoopGroup group;
-  private final PeerLatency distance;
+  private final PeerLatency latency;
   private final GatewayLog log;
-  private final Map<PeerAddress, Link> links = new HashMap<>();
+  private final Map<PeerAddress, PeerLink> links = new HashMap<>();
 
   /**
    * Creates a client without connections.
    *
    * @param group the event loop
-   * @param distance how far other nodes are
+   * @param latency how far other nodes are
    */
-  public LinkClient(EventLoopGroup group, PeerLatency distance, GatewayLog log) {
+  public LinkClient(EventLoopGroup group, PeerLatency latency, GatewayLog log) {
     this.group = group;
-    this.distance = distance;
+    this.latency = latency;
     this.log = log;
     group
         .next()
@@ -66,100 +66,101 @@
   }
 
   @Override
-  public void call(PeerAddress peer, StoreCall call, Consumer<StoreReply> answer) {
-    link(peer)
-        .ask(
+  public void call(PeerAddress peer, StoreCall call, Consumer<StoreReply> callback) {
+    linkTo(peer)
+        .sendRequest(
             id -> new LinkMessage.StoreRequest(id, call),
             call.timeoutMillis(),
-            outcome -> answer.accept(outcome.storeReply()));
+            outcome -> callback.accept(outcome.storeReply()));
   }
 
   @Override
   public void requestGrant(
-      PeerAddress peer, ProgramId program, Consumer<Optional<GrantTransfer>> answer) {
-    link(peer)
-        .ask(
+      PeerAddress peer, ProgramId program, Consumer<Optional<GrantTransfer>> callback) {
+    linkTo(peer)
+        .sendRequest(
             id -> new LinkMessage.GrantRequest(id, program),
             handoverMillis(peer),
-            outcome -> answer.accept(outcome.transfer()));
+            outcome -> callback.accept(outcome.transfer()));
   }
 
   @Override
-  public void requestTurns(PeerAddress peer, String turnId, Consumer<List<StoredTurn>> answer) {
-    link(peer)
-        .ask(
+  public void requestTurns(PeerAddress peer, String turnId, Consumer<List<StoredTurn>> callback) {
+    linkTo(peer)
+        .sendRequest(
             id -> new LinkMessage.TurnsRequest(id, turnId),
             handoverMillis(peer),
-            outcome -> answer.accept(outcome.turns()));
+            outcome -> callback.accept(outcome.turns()));
   }
 
   private long handoverMillis(PeerAddress peer) {
-    return HANDOVER_MILLIS + HANDOVER_ROUND_TRIPS * distance.roundTripMillis(peer);
+    return HANDOVER_WORK_MILLIS + HANDOVER_ROUND_TRIPS * latency.roundTripMillis(peer);
   }
 
-  private Link link(PeerAddress peer) {
-    return links.computeIfAbsent(peer, Link::new);
+  private PeerLink linkTo(PeerAddress peer) {
+    return links.computeIfAbsent(peer, PeerLink::new);
   }
 
   private void sweep() {
-    links.values().removeIf(Link::closedAfterRest);
+    links.values().removeIf(PeerLink::closeIfIdle);
   }
 
   /**
    * What became of a request.
    *
-   * @param answer the answer, or null if there was none
+   * @param response the answer, or null if there was none
    * @param sent whether the request may have reached the other node
    * @param reason why there is no answer
    */
-  private record Outcome(LinkMessage answer, boolean sent, String reason) {
+  private record Outcome(LinkMessage response, boolean sent, String reason) {
 
     StoreReply storeReply() {
-      if (answer instanceof LinkMessage.StoreAnswer storeAnswer) {
-        return storeAnswer.reply();
+      if (response instanceof LinkMessage.StoreResponse storeResponse) {
+        return storeResponse.reply();
       }
       return sent ? new StoreReply.Lost(reason) : new StoreReply.NotSent(reason);
     }
 
     Optional<GrantTransfer> transfer() {
-      return answer instanceof LinkMessage.GrantAnswer grantAnswer
-          ? grantAnswer.transfer()
+      return response instanceof LinkMessage.GrantResponse grantResponse
+          ? grantResponse.transfer()
           : Optional.empty();
     }
 
     List<StoredTurn> turns() {
-      return answer instanceof LinkMessage.TurnsAnswer turnsAnswer
-          ? turnsAnswer.turns()
+      return response instanceof LinkMessage.TurnsResponse turnsResponse
+          ? turnsResponse.turns()
           : List.of();
     }
   }
 
   /** A request that waits for its answer. */
-  private record Waiting(Consumer<Outcome> onOutcome, Future<?> timeout) {}
+  private record PendingRequest(Consumer<Outcome> onOutcome, Future<?> timeout) {}
 
   /** The connection to one node, made when it is first needed. */
-  private final class Link {
+  private final class PeerLink {
     private final PeerAddress peer;
-    private final Map<Long, Waiting> waiting = new HashMap<>();
+    private final Map<Long, PendingRequest> pending = new HashMap<>();
     private long lastCorrelationId;
-    private long usedNanos = System.nanoTime();
-    private long heardNanos = System.nanoTime();
+    private long lastRequestNanos = System.nanoTime();
+    private long lastReceivedNanos = System.nanoTime();
     private Channel channel;
 
-    Link(PeerAddress peer) {
+    PeerLink(PeerAddress peer) {
       this.peer = peer;
     }
 
-    void ask(LongFunction<LinkMessage> request, long timeoutMillis, Consumer<Outcome> onOutcome) {
-      usedNanos = System.nanoTime();
+    void sendRequest(
+        LongFunction<LinkMessage> request, long timeoutMillis, Consumer<Outcome> onOutcome) {
+      lastRequestNanos = System.nanoTime();
       long id = ++lastCorrelationId;
       Future<?> timeout =
           group
               .next()
               .schedule(() -> onTimeout(id, timeoutMillis), timeoutMillis, TimeUnit.MILLISECONDS);
-      waiting.put(id, new Waiting(onOutcome, timeout));
+      pending.put(id, new PendingRequest(onOutcome, timeout));
       if (channel != null) {
-        channel.writeAndFlush(LinkChannel.frame(request.apply(id)));
+        channel.writeAndFlush(LinkChannel.encodeFrame(request.apply(id)));
       } else {
         connect().addListener(connected -> onConnected(id, request));
       }
@@ -167,9 +168,9 @@
 
     private void onConnected(long id, LongFunction<LinkMessage> request) {
       if (channel == null) {
-        end(id, new Outcome(null, false, "no connection to " + peer));
-      } else if (waiting.containsKey(id)) {
-        channel.writeAndFlush(LinkChannel.frame(request.apply(id)));
+        complete(id, new Outcome(null, false, "no connection to " + peer));
+      } else if (pending.containsKey(id)) {
+        channel.writeAndFlush(LinkChannel.encodeFrame(request.apply(id)));
       }
     }
 
@@ -181,7 +182,7 @@
                     @Override
                     protected void initChannel(SocketChannel opened) {
                       LinkChannel.prepare(
-                          opened.pipeline(), Link.this::onMessage, () -> onClosed(opened));
+                          opened.pipeline(), PeerLink.this::onMessage, () -> onClosed(opened));
                     }
                   })
               .connect(peer.host(), peer.port());
@@ -196,23 +197,23 @@
       }
       if (channel == null) {
         channel = connected.channel();
-        heardNanos = System.nanoTime();
+        lastReceivedNanos = System.nanoTime();
       } else {
         connected.channel().close();
       }
     }
 
     private void onMessage(LinkMessage message) {
-      heardNanos = System.nanoTime();
-      end(message.correlationId(), new Outcome(message, true, ""));
+      lastReceivedNanos = System.nanoTime();
+      complete(message.correlationId(), new Outcome(message, true, ""));
     }
 
     private void onTimeout(long id, long timeoutMillis) {
-      long silentMillis = (System.nanoTime() - heardNanos) / 1_000_000;
+      long silentMillis = (System.nanoTime() - lastReceivedNanos) / 1_000_000;
       if (channel != null && silentMillis >= timeoutMillis) {
         abandon(silentMillis);
       }
-      end(id, new Outcome(null, true, "time-out at " + peer));
+      complete(id, new Outcome(null, true, "time-out at " + peer));
     }
 
     /**
@@ -229,14 +230,16 @@
           "ms",
           silentMillis,
           "under_way",
-          waiting.size());
+          pending.size());
       Channel silent = channel;
       channel = null;
-      group.next().schedule(() -> silent.close(), ABANDONED_MILLIS, TimeUnit.MILLISECONDS);
+      group
+          .next()
+          .schedule(() -> silent.close(), ABANDONED_CLOSE_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void end(long id, Outcome outcome) {
-      Waiting ended = waiting.remove(id);
+    private void complete(long id, Outcome outcome) {
+      PendingRequest ended = pending.remove(id);
       if (ended != null) {
         ended.timeout().cancel(false);
         ended.onOutcome().accept(outcome);
@@ -248,14 +251,14 @@
         return;
       }
       channel = null;
-      for (Long id : new ArrayList<>(waiting.keySet())) {
-        end(id, new Outcome(null, true, "connection to " + peer + " closed"));
+      for (Long id : new ArrayList<>(pending.keySet())) {
+        complete(id, new Outcome(null, true, "connection to " + peer + " closed"));
       }
     }
 
     /** Closes the connection if it rests; returns whether it is gone. */
-    boolean closedAfterRest() {
-      if (!waiting.isEmpty() || System.nanoTime() - usedNanos < IDLE_NANOS) {
+    boolean closeIfIdle() {
+      if (!pending.isEmpty() || System.nanoTime() - lastRequestNanos < IDLE_NANOS) {
         return false;
       }
       if (channel != null) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkCodec.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkCodec.java
@@ -33,7 +33,7 @@
 final class LinkCodec {
   private static final int MAX_TARGET_CHARACTERS = 4_096;
   private static final long MAX_TIMEOUT_MILLIS = 30_000;
-  private static final int FIRST_BUFFER_BYTES = 1_024;
+  private static final int INITIAL_BUFFER_BYTES = 1_024;
   private static final byte[] NO_BODY = new byte[0];
 
   /** How a call to the store ended, as it is sent. */
@@ -64,7 +64,7 @@
   private LinkCodec() {}
 
   static byte[] encode(LinkMessage message) {
-    MutableDirectBuffer buffer = new ExpandableArrayBuffer(FIRST_BUFFER_BYTES);
+    MutableDirectBuffer buffer = new ExpandableArrayBuffer(INITIAL_BUFFER_BYTES);
     int length = MessageHeaderEncoder.ENCODED_LENGTH + encodeBody(message, buffer);
     byte[] bytes = new byte[length];
     buffer.getBytes(0, bytes);
@@ -75,8 +75,8 @@
     if (message instanceof LinkMessage.StoreRequest request) {
       return encodeStoreRequest(request, buffer);
     }
-    if (message instanceof LinkMessage.StoreAnswer answer) {
-      return encodeStoreAnswer(answer, buffer);
+    if (message instanceof LinkMessage.StoreResponse response) {
+      return encodeStoreResponse(response, buffer);
     }
     if (message instanceof LinkMessage.GrantRequest request) {
       return new GrantRequestEncoder()
@@ -85,8 +85,8 @@
           .program(request.program().value())
           .encodedLength();
     }
-    if (message instanceof LinkMessage.GrantAnswer answer) {
-      return encodeGrantAnswer(answer, buffer);
+    if (message instanceof LinkMessage.GrantResponse response) {
+      return encodeGrantResponse(response, buffer);
     }
     if (message instanceof LinkMessage.TurnsRequest request) {
       return new TurnsRequestEncoder()
@@ -95,7 +95,7 @@
           .turnId(request.turnId())
           .encodedLength();
     }
-    return encodeTurnsAnswer((LinkMessage.TurnsAnswer) message, buffer);
+    return encodeTurnsResponse((LinkMessage.TurnsResponse) message, buffer);
   }
 
   private static int encodeStoreRequest(
@@ -113,37 +113,39 @@
         .encodedLength();
   }
 
-  private static int encodeStoreAnswer(LinkMessage.StoreAnswer answer, MutableDirectBuffer buffer) {
+  private static int encodeStoreResponse(
+      LinkMessage.StoreResponse response, MutableDirectBuffer buffer) {
     Outcome outcome;
     int status = 0;
     byte[] content;
-    if (answer.reply() instanceof StoreReply.Answered answered) {
+    if (response.reply() instanceof StoreReply.Answered answered) {
       outcome = Outcome.ANSWERED;
       status = answered.status();
       content = answered.body();
-    } else if (answer.reply() instanceof StoreReply.Lost lost) {
+    } else if (response.reply() instanceof StoreReply.Lost lost) {
       outcome = Outcome.LOST;
       content = lost.reason().getBytes(StandardCharsets.UTF_8);
     } else {
       outcome = Outcome.NOT_SENT;
-      String reason = ((StoreReply.NotSent) answer.reply()).reason();
+      String reason = ((StoreReply.NotSent) response.reply()).reason();
       content = reason.getBytes(StandardCharsets.UTF_8);
     }
     return new StoreRelayReplyEncoder()
         .wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder())
-        .correlationId(answer.correlationId())
+        .correlationId(response.correlationId())
         .outcome((short) outcome.ordinal())
         .status(status)
         .putContent(content, 0, content.length)
         .encodedLength();
   }
 
-  private static int encodeGrantAnswer(LinkMessage.GrantAnswer answer, MutableDirectBuffer buffer) {
-    GrantTransfer transfer = answer.transfer().orElse(new GrantTransfer(0, 0, 0, 0));
+  private static int encodeGrantResponse(
+      LinkMessage.GrantResponse response, MutableDirectBuffer buffer) {
+    GrantTransfer transfer = response.transfer().orElse(new GrantTransfer(0, 0, 0, 0));
     return new GrantAnswerEncoder()
         .wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder())
-        .correlationId(answer.correlationId())
-        .known((short) (answer.transfer().isPresent() ? 1 : 0))
+        .correlationId(response.correlationId())
+        .known((short) (response.transfer().isPresent() ? 1 : 0))
         .tokens(transfer.tokens())
         .grantedTokens(transfer.grantedTokens())
         .grantId(transfer.grantId())
@@ -151,13 +153,14 @@
         .encodedLength();
   }
 
-  private static int encodeTurnsAnswer(LinkMessage.TurnsAnswer answer, MutableDirectBuffer buffer) {
+  private static int encodeTurnsResponse(
+      LinkMessage.TurnsResponse response, MutableDirectBuffer buffer) {
     TurnsAnswerEncoder encoder =
         new TurnsAnswerEncoder()
             .wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder())
-            .correlationId(answer.correlationId());
-    TurnsAnswerEncoder.TurnsEncoder turns = encoder.turnsCount(answer.turns().size());
-    for (StoredTurn turn : answer.turns()) {
+            .correlationId(response.correlationId());
+    TurnsAnswerEncoder.TurnsEncoder turns = encoder.turnsCount(response.turns().size());
+    for (StoredTurn turn : response.turns()) {
       byte[] content = StoredTurnCodec.encodeWhole(turn);
       turns.next().turnId(turn.id()).putContent(content, 0, content.length);
     }
@@ -189,20 +192,20 @@
   private static LinkMessage decodeBody(DirectBuffer buffer, MessageHeaderDecoder header) {
     return switch (header.templateId()) {
       case StoreRelayRequestDecoder.TEMPLATE_ID -> decodeStoreRequest(buffer, header);
-      case StoreRelayReplyDecoder.TEMPLATE_ID -> decodeStoreAnswer(buffer, header);
+      case StoreRelayReplyDecoder.TEMPLATE_ID -> decodeStoreResponse(buffer, header);
       case GrantRequestDecoder.TEMPLATE_ID -> {
         GrantRequestDecoder decoder =
             new GrantRequestDecoder().wrapAndApplyHeader(buffer, 0, header);
         yield new LinkMessage.GrantRequest(
             decoder.correlationId(), new ProgramId(decoder.program()));
       }
-      case GrantAnswerDecoder.TEMPLATE_ID -> decodeGrantAnswer(buffer, header);
+      case GrantAnswerDecoder.TEMPLATE_ID -> decodeGrantResponse(buffer, header);
       case TurnsRequestDecoder.TEMPLATE_ID -> {
         TurnsRequestDecoder decoder =
             new TurnsRequestDecoder().wrapAndApplyHeader(buffer, 0, header);
         yield new LinkMessage.TurnsRequest(decoder.correlationId(), decoder.turnId());
       }
-      case TurnsAnswerDecoder.TEMPLATE_ID -> decodeTurnsAnswer(buffer, header);
+      case TurnsAnswerDecoder.TEMPLATE_ID -> decodeTurnsResponse(buffer, header);
       default -> throw new UnknownMessageException(header.templateId());
     };
   }
@@ -217,14 +220,14 @@
     if (target.length() > MAX_TARGET_CHARACTERS || !target.startsWith("/")) {
       throw new MalformedMessageException("target of " + target.length() + " characters");
     }
-    byte[] body = new byte[bounded(decoder.bodyLength(), buffer)];
+    byte[] body = new byte[checkedLength(decoder.bodyLength(), buffer)];
     decoder.getBody(body, 0, body.length);
     byte[] callBody = method == StoreCall.Method.GET ? null : body;
     return new LinkMessage.StoreRequest(
         decoder.correlationId(), new StoreCall(method, target, callBody, timeoutMillis, longPoll));
   }
 
-  private static LinkMessage decodeStoreAnswer(DirectBuffer buffer, MessageHeaderDecoder header) {
+  private static LinkMessage decodeStoreResponse(DirectBuffer buffer, MessageHeaderDecoder header) {
     StoreRelayReplyDecoder decoder =
         new StoreRelayReplyDecoder().wrapAndApplyHeader(buffer, 0, header);
     int outcome = decoder.outcome();
@@ -232,7 +235,7 @@
       throw new MalformedMessageException("outcome " + outcome);
     }
     int status = decoder.status();
-    byte[] content = new byte[bounded(decoder.contentLength(), buffer)];
+    byte[] content = new byte[checkedLength(decoder.contentLength(), buffer)];
     decoder.getContent(content, 0, content.length);
     StoreReply reply =
         switch (Outcome.values()[outcome]) {
@@ -240,13 +243,13 @@
           case NOT_SENT -> new StoreReply.NotSent(new String(content, StandardCharsets.UTF_8));
           case LOST -> new StoreReply.Lost(new String(content, StandardCharsets.UTF_8));
         };
-    return new LinkMessage.StoreAnswer(decoder.correlationId(), reply);
+    return new LinkMessage.StoreResponse(decoder.correlationId(), reply);
   }
 
-  private static LinkMessage decodeGrantAnswer(DirectBuffer buffer, MessageHeaderDecoder header) {
+  private static LinkMessage decodeGrantResponse(DirectBuffer buffer, MessageHeaderDecoder header) {
     GrantAnswerDecoder decoder = new GrantAnswerDecoder().wrapAndApplyHeader(buffer, 0, header);
     if (decoder.known() == 0) {
-      return new LinkMessage.GrantAnswer(decoder.correlationId(), Optional.empty());
+      return new LinkMessage.GrantResponse(decoder.correlationId(), Optional.empty());
     }
     GrantTransfer transfer =
         new GrantTransfer(
@@ -254,24 +257,24 @@
     if (transfer.tokens() < 0 || transfer.tokens() > transfer.grantedTokens()) {
       throw new MalformedMessageException("tokens " + transfer.tokens());
     }
-    return new LinkMessage.GrantAnswer(decoder.correlationId(), Optional.of(transfer));
+    return new LinkMessage.GrantResponse(decoder.correlationId(), Optional.of(transfer));
   }
 
-  private static LinkMessage decodeTurnsAnswer(DirectBuffer buffer, MessageHeaderDecoder header) {
+  private static LinkMessage decodeTurnsResponse(DirectBuffer buffer, MessageHeaderDecoder header) {
     TurnsAnswerDecoder decoder = new TurnsAnswerDecoder().wrapAndApplyHeader(buffer, 0, header);
     long correlationId = decoder.correlationId();
     List<StoredTurn> turns = new ArrayList<>();
     for (TurnsAnswerDecoder.TurnsDecoder turn : decoder.turns()) {
       String turnId = turn.turnId();
-      byte[] content = new byte[bounded(turn.contentLength(), buffer)];
+      byte[] content = new byte[checkedLength(turn.contentLength(), buffer)];
       turn.getContent(content, 0, content.length);
       turns.add(StoredTurnCodec.decodeWhole(turnId, content));
     }
-    return new LinkMessage.TurnsAnswer(correlationId, turns);
+    return new LinkMessage.TurnsResponse(correlationId, turns);
   }
 
   /** A length as it was sent says nothing until it fits what was received. */
-  private static int bounded(int length, DirectBuffer buffer) {
+  private static int checkedLength(int length, DirectBuffer buffer) {
     if (length < 0 || length > buffer.capacity()) {
       throw new MalformedMessageException("length " + length);
     }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkMessage.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkMessage.java
@@ -26,7 +26,7 @@
    *
    * @param reply the outcome
    */
-  record StoreAnswer(long correlationId, StoreReply reply) implements LinkMessage {}
+  record StoreResponse(long correlationId, StoreReply reply) implements LinkMessage {}
 
   /**
    * The sender takes over a program and wants the tokens that the receiver has left of its grant.
@@ -40,7 +40,8 @@
    *
    * @param transfer nothing if the program is unknown here
    */
-  record GrantAnswer(long correlationId, Optional<GrantTransfer> transfer) implements LinkMessage {}
+  record GrantResponse(long correlationId, Optional<GrantTransfer> transfer)
+      implements LinkMessage {}
 
   /**
    * The sender needs a turn and all it continues.
@@ -54,8 +55,8 @@
    *
    * @param turns in any order
    */
-  record TurnsAnswer(long correlationId, List<StoredTurn> turns) implements LinkMessage {
-    public TurnsAnswer {
+  record TurnsResponse(long correlationId, List<StoredTurn> turns) implements LinkMessage {
+    public TurnsResponse {
       turns = List.copyOf(turns);
     }
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkServer.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkServer.java
@@ -41,19 +41,19 @@
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(SocketChannel channel) {
-                Caller caller = new Caller(channel);
-                LinkChannel.prepare(channel.pipeline(), caller::onMessage, () -> {});
+                PeerConnection peer = new PeerConnection(channel);
+                LinkChannel.prepare(channel.pipeline(), peer::onMessage, () -> {});
               }
             })
         .bind(address);
   }
 
   /** The node at the other end of one connection. */
-  private final class Caller {
+  private final class PeerConnection {
     private final SocketChannel channel;
     private int storeCalls;
 
-    Caller(SocketChannel channel) {
+    PeerConnection(SocketChannel channel) {
       this.channel = channel;
     }
 
@@ -62,9 +62,9 @@
       if (message instanceof LinkMessage.StoreRequest request) {
         callStore(request);
       } else if (message instanceof LinkMessage.GrantRequest request) {
-        send(new LinkMessage.GrantAnswer(id, services.releaseGrant(request.program())));
+        send(new LinkMessage.GrantResponse(id, services.releaseGrant(request.program())));
       } else if (message instanceof LinkMessage.TurnsRequest request) {
-        send(new LinkMessage.TurnsAnswer(id, services.turnsInMemory(request.turnId())));
+        send(new LinkMessage.TurnsResponse(id, services.turnsInMemory(request.turnId())));
       } else {
         channel.close();
       }
@@ -73,7 +73,7 @@
     private void callStore(LinkMessage.StoreRequest request) {
       long id = request.correlationId();
       if (storeCalls >= MAX_STORE_CALLS_PER_CONNECTION) {
-        send(new LinkMessage.StoreAnswer(id, new StoreReply.NotSent("too many relayed calls")));
+        send(new LinkMessage.StoreResponse(id, new StoreReply.NotSent("too many relayed calls")));
         return;
       }
       storeCalls++;
@@ -81,12 +81,12 @@
           request.call(),
           outcome -> {
             storeCalls--;
-            send(new LinkMessage.StoreAnswer(id, outcome));
+            send(new LinkMessage.StoreResponse(id, outcome));
           });
     }
 
-    private void send(LinkMessage answer) {
-      channel.writeAndFlush(LinkChannel.frame(answer));
+    private void send(LinkMessage response) {
+      channel.writeAndFlush(LinkChannel.encodeFrame(response));
     }
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkServices.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkServices.java
@@ -15,9 +15,9 @@
   /**
    * Makes a call to the store by this node's own way.
    *
-   * @param answer takes the outcome, exactly once
+   * @param callback takes the outcome, exactly once
    */
-  void callStore(StoreCall call, Consumer<StoreReply> answer);
+  void callStore(StoreCall call, Consumer<StoreReply> callback);
 
   /** Gives up what this node has left of a program's grant. */
   Optional<GrantTransfer> releaseGrant(ProgramId program);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LocalLinkServices.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LocalLinkServices.java
@@ -26,8 +26,8 @@
   }
 
   @Override
-  public void callStore(StoreCall call, Consumer<StoreReply> answer) {
-    store.callDirectly(call, answer);
+  public void callStore(StoreCall call, Consumer<StoreReply> callback) {
+    store.callDirectly(call, callback);
   }
 
   @Override
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/ByteBudget.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/ByteBudget.java
@@ -6,26 +6,26 @@
  */
 public final class ByteBudget {
   /** Bytes that a datagram takes on a link beyond its content: UDP, IP and Ethernet. */
-  private static final int OVERHEAD_BYTES = 46;
+  private static final int HEADER_BYTES = 46;
 
   private static final double NANOS_PER_SECOND = 1e9;
 
   private final double bytesPerNano;
-  private final double maxSavedBytes;
-  private double savedBytes;
-  private long savedAtNanos;
+  private final double burstBytes;
+  private double availableBytes;
+  private long refilledNanos;
 
   /**
    * Creates a budget with all that it can save.
    *
    * @param bytesPerSecond the steady rate
-   * @param maxSavedBytes what may be sent at once after a calm time
+   * @param burstBytes what may be sent at once after a calm time
    */
-  public ByteBudget(long bytesPerSecond, long maxSavedBytes, long nowNanos) {
+  public ByteBudget(long bytesPerSecond, long burstBytes, long nowNanos) {
     this.bytesPerNano = bytesPerSecond / NANOS_PER_SECOND;
-    this.maxSavedBytes = maxSavedBytes;
-    this.savedBytes = maxSavedBytes;
-    this.savedAtNanos = nowNanos;
+    this.burstBytes = burstBytes;
+    this.availableBytes = burstBytes;
+    this.refilledNanos = nowNanos;
   }
 
   /**
@@ -34,7 +34,7 @@
    * @param contentBytes the message itself
    */
   public static long wireBytes(int contentBytes) {
-    return contentBytes + OVERHEAD_BYTES;
+    return contentBytes + HEADER_BYTES;
   }
 
   /** Takes bytes if there are as many; else takes none. */
@@ -42,19 +42,20 @@
     if (available(nowNanos) < bytes) {
       return false;
     }
-    savedBytes -= bytes;
+    availableBytes -= bytes;
     return true;
   }
 
   /** Takes bytes also if there are not as many; what is missing must be saved first. */
   public void consume(long bytes, long nowNanos) {
-    savedBytes = available(nowNanos) - bytes;
+    availableBytes = available(nowNanos) - bytes;
   }
 
   /** The bytes that may be sent now; negative after spending more than there were. */
   public double available(long nowNanos) {
-    savedBytes = Math.min(maxSavedBytes, savedBytes + (nowNanos - savedAtNanos) * bytesPerNano);
-    savedAtNanos = nowNanos;
-    return savedBytes;
+    availableBytes =
+        Math.min(burstBytes, availableBytes + (nowNanos - refilledNanos) * bytesPerNano);
+    refilledNanos = nowNanos;
+    return availableBytes;
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineLoadNoticeCodec.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineLoadNoticeCodec.java
@@ -13,8 +13,8 @@
 
 /** Notices of engines' load as SBE, and how many engines one datagram holds. */
 public final class EngineLoadNoticeCodec {
-  private static final int ID_LENGTH_BYTES = 2;
-  private static final int EMPTY_BYTES =
+  private static final int ID_LENGTH_FIELD_BYTES = 2;
+  private static final int EMPTY_NOTICE_BYTES =
       MessageHeaderEncoder.ENCODED_LENGTH
           + EngineLoadNoticeEncoder.BLOCK_LENGTH
           + EngineLoadNoticeEncoder.EnginesEncoder.sbeHeaderSize();
@@ -31,36 +31,36 @@
    */
   public static List<PeerMessage.EngineLoadNotice> split(List<PeerMessage.ReportedLoad> engines) {
     List<PeerMessage.EngineLoadNotice> notices = new ArrayList<>();
-    List<PeerMessage.ReportedLoad> fitting = new ArrayList<>();
-    int bytes = EMPTY_BYTES;
+    List<PeerMessage.ReportedLoad> batch = new ArrayList<>();
+    int bytes = EMPTY_NOTICE_BYTES;
     for (PeerMessage.ReportedLoad engine : engines) {
       int entry = entryBytes(engine.engineId());
-      if (EMPTY_BYTES + entry > PeerMessageCodec.MAX_MESSAGE_BYTES) {
+      if (EMPTY_NOTICE_BYTES + entry > PeerMessageCodec.MAX_MESSAGE_BYTES) {
         continue;
       }
       if (bytes + entry > PeerMessageCodec.MAX_MESSAGE_BYTES) {
-        notices.add(new PeerMessage.EngineLoadNotice(fitting));
-        fitting.clear();
-        bytes = EMPTY_BYTES;
+        notices.add(new PeerMessage.EngineLoadNotice(batch));
+        batch.clear();
+        bytes = EMPTY_NOTICE_BYTES;
       }
-      fitting.add(engine);
+      batch.add(engine);
       bytes += entry;
     }
-    if (!fitting.isEmpty()) {
-      notices.add(new PeerMessage.EngineLoadNotice(fitting));
+    if (!batch.isEmpty()) {
+      notices.add(new PeerMessage.EngineLoadNotice(batch));
     }
     return notices;
   }
 
   /** The bytes on a link of a notice that tells of no engine. */
   public static long emptyWireBytes() {
-    return ByteBudget.wireBytes(EMPTY_BYTES);
+    return ByteBudget.wireBytes(EMPTY_NOTICE_BYTES);
   }
 
   /** The bytes that an engine adds to a notice. */
   public static int entryBytes(EngineId engineId) {
     return EngineLoadNoticeEncoder.EnginesEncoder.sbeBlockLength()
-        + ID_LENGTH_BYTES
+        + ID_LENGTH_FIELD_BYTES
         + engineId.value().getBytes(StandardCharsets.UTF_8).length;
   }
 
@@ -89,13 +89,13 @@
     List<PeerMessage.ReportedLoad> engines = new ArrayList<>();
     for (EngineLoadNoticeDecoder.EnginesDecoder engine : decoder.engines()) {
       long ageMillis = engine.ageMillis();
-      long bornMillis = engine.bornMillis();
+      long startMillis = engine.bornMillis();
       EngineLoad load =
           new EngineLoad(
               engine.waiting(), engine.running(), engine.usedTokens(), engine.totalTokens());
       engines.add(
           new PeerMessage.ReportedLoad(
-              new EngineId(engine.engineId()), ageMillis, bornMillis, load));
+              new EngineId(engine.engineId()), ageMillis, startMillis, load));
     }
     return new PeerMessage.EngineLoadNotice(engines);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineSuspicionNotifier.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineSuspicionNotifier.java
@@ -15,7 +15,7 @@
  */
 public final class EngineSuspicionNotifier implements EngineSuspicionListener, PeerMessageListener {
   private static final long BYTES_PER_SECOND = 8_192;
-  private static final long MAX_SAVED_BYTES = 40_960;
+  private static final long BURST_BYTES = 40_960;
 
   private final EngineDirectory engines;
   private final PeerDirectory peers;
@@ -39,7 +39,7 @@
     this.codec = codec;
     this.eventLoop = eventLoop;
     this.log = log;
-    this.budget = new ByteBudget(BYTES_PER_SECOND, MAX_SAVED_BYTES, eventLoop.nanoTime());
+    this.budget = new ByteBudget(BYTES_PER_SECOND, BURST_BYTES, eventLoop.nanoTime());
   }
 
   @Override
@@ -55,11 +55,11 @@
   @Override
   public void onMessage(PeerAddress sender, PeerMessage message) {
     if (message instanceof PeerMessage.EngineSuspicion suspicion) {
-      onSuspicionElsewhere(sender, suspicion.engineId());
+      onPeerSuspicion(sender, suspicion.engineId());
     }
   }
 
-  private void onSuspicionElsewhere(PeerAddress sender, EngineId engineId) {
+  private void onPeerSuspicion(PeerAddress sender, EngineId engineId) {
     Engine engine = engines.find(engineId);
     if (engine == null) {
       return;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerDirectory.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerDirectory.java
@@ -56,7 +56,7 @@
   private final Map<PeerAddress, String> zoneByPeer = new LinkedHashMap<>();
   private final Set<PeerAddress> peersInRegion = new LinkedHashSet<>();
   private long ownRowVersion = Transaction.ABSENT;
-  private boolean read;
+  private boolean loaded;
 
   /**
    * Creates a directory that knows nobody yet.
@@ -107,27 +107,28 @@
   }
 
   private void readPeers(String fromKey) {
-    store.read(new RangeRead(TABLE, "", fromKey, PAGE_ROWS), outcome -> onPeers(fromKey, outcome));
+    store.read(
+        new RangeRead(TABLE, "", fromKey, PAGE_ROWS), outcome -> onPeerRows(fromKey, outcome));
   }
 
-  private void onPeers(String fromKey, ReadOutcome outcome) {
+  private void onPeerRows(String fromKey, ReadOutcome outcome) {
     if (!(outcome instanceof ReadOutcome.Rows page)) {
       eventLoop.schedule(RETRY_MILLIS, () -> readPeers(fromKey));
       return;
     }
-    page.rows().forEach(this::adopt);
+    page.rows().forEach(this::addFromRow);
     if (page.more()) {
       readPeers(page.rows().get(page.rows().size() - 1).address().key() + '\0');
       return;
     }
-    read = true;
+    loaded = true;
     byte[] announcement = codec.encode(new PeerMessage.NodeAnnouncement(topology.ownZone()));
     zoneByPeer.keySet().forEach(peer -> transport.send(peer, announcement));
     log.write(
         GatewayEvent.PEERS_KNOWN, "peers", zoneByPeer.size(), "in_region", peersInRegion.size());
   }
 
-  private void adopt(StoredRow row) {
+  private void addFromRow(StoredRow row) {
     if (row.removed() || row.address().key().equals(ownRow.key())) {
       return;
     }
@@ -147,7 +148,7 @@
    *
    * @param peer its address
    */
-  public void heardFrom(PeerAddress peer) {
+  public void onSender(PeerAddress peer) {
     if (!zoneByPeer.containsKey(peer)) {
       add(peer, UNKNOWN_ZONE);
     }
@@ -159,7 +160,7 @@
    * @param peer its address
    * @param zone its zone; empty if it did not say
    */
-  public void announced(PeerAddress peer, String zone) {
+  public void onAnnouncement(PeerAddress peer, String zone) {
     add(peer, zone);
   }
 
@@ -215,6 +216,6 @@
 
   /** The nodes known now; nothing until they have been read from the store once. */
   public Optional<Collection<PeerAddress>> peersIfLoaded() {
-    return read ? Optional.of(peers()) : Optional.empty();
+    return loaded ? Optional.of(peers()) : Optional.empty();
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessageDispatcher.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessageDispatcher.java
@@ -34,9 +34,9 @@
 
   private void noteSender(PeerAddress sender, PeerMessage message) {
     if (message instanceof PeerMessage.NodeAnnouncement announcement) {
-      peers.announced(sender, announcement.zone());
+      peers.onAnnouncement(sender, announcement.zone());
     } else {
-      peers.heardFrom(sender);
+      peers.onSender(sender);
     }
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/RendezvousOrder.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/RendezvousOrder.java
@@ -25,14 +25,14 @@
 
   /** How many of the nodes known now come before this one. */
   public int rankOfSelf(String key) {
-    int own = weight(self, key);
-    int before = 0;
+    int ownWeight = weight(self, key);
+    int rank = 0;
     for (PeerAddress peer : peers.get()) {
-      if (weight(peer, key) > own) {
-        before++;
+      if (weight(peer, key) > ownWeight) {
+        rank++;
       }
     }
-    return before;
+    return rank;
   }
 
   /** Whether a node, known or not, comes before this one. */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/topology/RoundTrips.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/topology/RoundTrips.java
@@ -13,12 +13,12 @@
  */
 public final class RoundTrips {
   /** An estimate falls this fast to an observation below it, and rises a twentieth as fast. */
-  private static final double FALL = 0.5;
+  private static final double FALL_WEIGHT = 0.5;
 
-  private static final double RISE = 0.025;
+  private static final double RISE_WEIGHT = 0.025;
 
   /** One observation counts at most as this multiple of the estimate: an outlier is no distance. */
-  private static final double MOST_RISE = 4;
+  private static final double MAX_OBSERVATION_FACTOR = 4;
 
   private final Topology topology;
   private final Map<String, Estimate> byZone = new HashMap<>();
@@ -46,9 +46,9 @@
       estimate.millis = millis;
       byZone.put(zone, estimate);
     } else {
-      double counted = Math.min(millis, estimate.millis * MOST_RISE);
-      double rate = counted < estimate.millis ? FALL : RISE;
-      estimate.millis += rate * (counted - estimate.millis);
+      double capped = Math.min(millis, estimate.millis * MAX_OBSERVATION_FACTOR);
+      double weight = capped < estimate.millis ? FALL_WEIGHT : RISE_WEIGHT;
+      estimate.millis += weight * (capped - estimate.millis);
     }
     estimate.observedNanos = nowNanos;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/topology/Topology.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/topology/Topology.java
@@ -26,7 +26,7 @@
     this.regionByZone = Map.copyOf(regionByZone);
     this.severalRegions = regionByZone.values().stream().distinct().count() > 1;
     this.ownRegion = regionByZone.getOrDefault(ownZone, new RegionId(""));
-    regionByZone.keySet().forEach(zone -> localityByZone.put(zone, compare(zone)));
+    regionByZone.keySet().forEach(zone -> localityByZone.put(zone, computeLocality(zone)));
   }
 
   /** A topology of one region. */
@@ -62,10 +62,10 @@
   /** How a zone relates to this node. */
   public Locality localityOf(String zone) {
     Locality known = localityByZone.get(zone);
-    return known != null ? known : compare(zone);
+    return known != null ? known : computeLocality(zone);
   }
 
-  private Locality compare(String zone) {
+  private Locality computeLocality(String zone) {
     if (zone.equals(ownZone)) {
       return Locality.SAME_ZONE;
     }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/buffering/TestHeldBytes.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/buffering/TestHeldBytesLimiter.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class TestHeldBytes {
+class TestHeldBytesLimiter {
   private static final long CALL = 100;
   private static final long NODE = 1_000;
   private static final long UNREAD_MILLIS = 10_000;
@@ -21,7 +21,7 @@
   private final TestingEventLoop eventLoop = new TestingEventLoop();
   private final HeldBytesLimiter held =
       new HeldBytesLimiter(new HeldBytesLimiter.Bounds(CALL, NODE, UNREAD_MILLIS), eventLoop);
-  private final List<String> givenUp = new ArrayList<>();
+  private final List<String> abandoned = new ArrayList<>();
 
   /** A call whose engine brings bytes while it is read. */
   private final class Call implements ResponseSource {
@@ -29,7 +29,7 @@
     private boolean read = true;
 
     Call(String name) {
-      flow = held.open((bytes, node, millis) -> givenUp.add(name + " " + bytes + " " + millis));
+      flow = held.open((bytes, node, millis) -> abandoned.add(name + " " + bytes + " " + millis));
       flow.setSource(this);
     }
 
@@ -52,7 +52,7 @@
 
   @ParameterizedTest(name = "{0} bytes are held, {1} of them are read: read on {2}")
   @CsvSource({"99, 0, true", "100, 0, false", "100, 49, false", "100, 50, true", "180, 130, true"})
-  void aCallIsPausedAtItsBoundUntilHalfOfThatIsRead(long bytes, long taken, boolean read) {
+  void pausesACallAtItsLimitUntilHalfOfItIsRead(long bytes, long taken, boolean read) {
     Call call = holding("a", bytes);
     call.flow.delivered(taken);
     assertEquals(read, call.read);
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void anEngineThatTakesTheAnswerOverIsNotReadEither() {
+  void aNewSourceOfAPausedCallIsPausedToo() {
     Call call = holding("a", CALL);
     Call next = new Call("unused");
     call.flow.setSource(next);
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void atTheNodesBoundTheCallThatHoldsMostGivesWayFirst() {
+  void atTheNodeLimitPausesTheCallWithTheMostHeldBytesFirst() {
     Call most = holding("most", 90);
     eventLoop.advance(5);
     Call longest = holding("longest", 80);
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void whileTheNodeIsFullACallWhoseCallerHasReadAllGoesOn() {
+  void atTheNodeLimitACallContinuesOnceItsCallerHasReadAll() {
     Call reader = holding("reader", 99);
     for (int i = 0; i < 11; i++) {
       holding("other", 90);
@@ -104,7 +104,7 @@
   }
 
   @Test
-  void atHalfOfTheNodesBoundAllGoOnThatHoldLittle() {
+  void atHalfOfTheNodeLimitCallsBelowTheirResumeLevelContinue() {
     List<Call> calls = new ArrayList<>();
     for (int i = 0; i < 25; i++) {
       calls.add(holding("c", 40));
@@ -118,7 +118,7 @@
 
   @ParameterizedTest(name = "{0} of 10 callers read a little after 6 s")
   @ValueSource(ints = {0, 1, 9})
-  void callersThatReadNothingForLongAreGivenUpOnlyWhileTheNodeIsFull(int readers) {
+  void abandonsCallersThatReadNothingOnlyWhileTheNodeIsAtItsLimit(int readers) {
     List<Call> calls = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       calls.add(holding("c" + i, CALL + 20));
@@ -128,29 +128,29 @@
     calls.subList(0, readers).forEach(call -> call.flow.delivered(1));
     eventLoop.advance(UNREAD_MILLIS - 6_000 - 1);
     held.sweep();
-    assertEquals(List.of(), givenUp);
+    assertEquals(List.of(), abandoned);
     eventLoop.advance(1);
     held.sweep();
     // 1,200 bytes are held: two that are given up make room.
-    assertEquals(Math.min(2, 10 - readers), givenUp.size());
-    assertEquals("c" + readers + " 120 10000", givenUp.get(0));
+    assertEquals(Math.min(2, 10 - readers), abandoned.size());
+    assertEquals("c" + readers + " 120 10000", abandoned.get(0));
     eventLoop.advance(60_000);
     held.sweep();
-    assertEquals(Math.min(2, 10 - readers) + (readers == 9 ? 1 : 0), givenUp.size());
+    assertEquals(Math.min(2, 10 - readers) + (readers == 9 ? 1 : 0), abandoned.size());
   }
 
   @Test
-  void whatIsHeldStaysDeliverableWhileTheNodeHasRoom() {
+  void heldBytesStayDeliverableBelowTheNodeLimit() {
     Call call = holding("a", NODE - 1);
     call.flow.setSource(ResponseSource.NONE);
     eventLoop.advance(600_000);
     held.sweep();
-    assertEquals(List.of(), givenUp);
+    assertEquals(List.of(), abandoned);
     assertEquals(NODE - 1, call.flow.held());
   }
 
   @Test
-  void ofACallerThatIsGoneNothingIsHeld() {
+  void nothingIsHeldForADisconnectedCaller() {
     Call call = holding("a", 70);
     call.flow.close();
     call.flow.close();
@@ -161,7 +161,7 @@
 
   @ParameterizedTest
   @CsvSource({"0, 10, 1", "11, 10, 1", "5, 10, 0"})
-  void boundsThatCantBeKeptAreRefused(long call, long node, long millis) {
+  void rejectsInconsistentLimits(long call, long node, long millis) {
     assertThrows(
         IllegalArgumentException.class, () -> new HeldBytesLimiter.Bounds(call, node, millis));
   }
@@ -169,7 +169,7 @@
   /** Four times the node's bound is asked for by callers half of which read nothing. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void whatIsHeldStaysWithinTheBoundAndWhoReadsIsServed(long seed) {
+  void heldBytesStayWithinTheNodeLimitAndReadersAreServed(long seed) {
     Random random = new Random(seed);
     List<Call> calls = new ArrayList<>();
     long[] delivered = new long[40];
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/datagram/TestDatagramPeerTransport.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/datagram/TestDatagramPeerTransport.java
@@ -21,7 +21,7 @@
 
 class TestDatagramPeerTransport {
   private static final String LOOPBACK = "127.0.0.1";
-  private static final int PATIENCE_SECONDS = 20;
+  private static final int TIMEOUT_SECONDS = 20;
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void aDatagramArrivesWithItsSender() throws Exception {
+  void deliversADatagramWithItsSender() throws Exception {
     PeerAddress senderAddress = freeAddress();
     PeerAddress receiverAddress = freeAddress();
     CompletableFuture<String> received = new CompletableFuture<>();
@@ -57,11 +57,11 @@
             (from, datagram) ->
                 received.complete(from + " " + new String(datagram, StandardCharsets.US_ASCII))));
     sender.send(receiverAddress, "hello".getBytes(StandardCharsets.US_ASCII));
-    assertEquals(senderAddress + " hello", received.get(PATIENCE_SECONDS, TimeUnit.SECONDS));
+    assertEquals(senderAddress + " hello", received.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
   }
 
   @Test
-  void aTakenPortIsReportedAndSendingDoesNothing() throws Exception {
+  void reportsAPortInUseAndThenDropsDatagrams() throws Exception {
     PeerAddress address = freeAddress();
     assertTrue(listens(new DatagramPeerTransport(), address, (from, datagram) -> {}));
     DatagramPeerTransport second = new DatagramPeerTransport();
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestEngineConnection.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestEngineConnection.java
@@ -59,7 +59,7 @@
   }
 
   /** Sends a request and returns how it ended: the body, or the failure. */
-  private String ask(Engine engine, String id) throws Exception {
+  private String sendAndAwait(Engine engine, String id) throws Exception {
     HttpHeaders headers = new DefaultHttpHeaders();
     headers.set("Host", "h");
     headers.set(TestingTranslator.ID, id);
@@ -119,94 +119,94 @@
     "after another's answer, HTTP/1.1 200 OK|X-Id: zz|Content-Length: 2||noHTTP/1.1 200 OK|X-Id: r1|Content-Length: 2||ok, KEEP, 200 ok",
     "only another's answer, HTTP/1.1 200 OK|X-Id: zz|Content-Length: 2||no, CLOSE, BROKEN",
   })
-  void anAnswerIsWholeOrBroken(String name, String bytes, After after, String outcome)
+  void aResponseEndsCompleteOrBroken(String name, String bytes, After after, String outcome)
       throws Exception {
     String wire = bytes.replace("|", "\r\n");
     try (ScriptedEngine engine = new ScriptedEngine(new Response(wire, after))) {
-      assertEquals(outcome, ask(engineAt(engine.port()), "r1"));
+      assertEquals(outcome, sendAndAwait(engineAt(engine.port()), "r1"));
     }
   }
 
   @Test
-  void aConnectionServesAgainAfterAWholeAnswer() throws Exception {
+  void reusesAConnectionAfterACompleteResponse() throws Exception {
     try (ScriptedEngine engine =
         new ScriptedEngine(new Response(OWN, After.KEEP), new Response(SECOND, After.KEEP))) {
       Engine target = engineAt(engine.port());
-      ask(target, "r1");
-      assertEquals("200 body", ask(target, "r2"));
+      sendAndAwait(target, "r1");
+      assertEquals("200 body", sendAndAwait(target, "r2"));
       assertEquals(1, engine.connections());
     }
   }
 
   @Test
-  void bytesBehindAWholeAnswerBelongToNobody() throws Exception {
+  void discardsAConnectionWithBytesAfterACompleteResponse() throws Exception {
     try (ScriptedEngine engine =
         new ScriptedEngine(
             new Response(OWN + FOREIGN, After.KEEP), new Response(SECOND, After.KEEP))) {
       Engine target = engineAt(engine.port());
-      assertEquals("200 body", ask(target, "r1"));
-      assertEquals("200 body", ask(target, "r2"));
+      assertEquals("200 body", sendAndAwait(target, "r1"));
+      assertEquals("200 body", sendAndAwait(target, "r2"));
     }
   }
 
   @Test
-  void aLateAnswerInTheNextOnesPlaceIsSkipped() throws Exception {
+  void skipsALateResponseToAnotherRequest() throws Exception {
     try (ScriptedEngine engine =
         new ScriptedEngine(
             new Response(OWN, After.KEEP),
             new Response(OWN + SECOND, After.KEEP),
             new Response(OWN.replace("r1", "r3"), After.KEEP))) {
       Engine target = engineAt(engine.port());
-      ask(target, "r1");
-      assertEquals("200 body", ask(target, "r2"));
-      assertEquals("200 body", ask(target, "r3"));
+      sendAndAwait(target, "r1");
+      assertEquals("200 body", sendAndAwait(target, "r2"));
+      assertEquals("200 body", sendAndAwait(target, "r3"));
       assertEquals(2, engine.connections(), "a connection with a stray answer is not used again");
     }
   }
 
   @Test
-  void aConnectionThatTheEngineWantsClosedIsNotUsedAgain() throws Exception {
+  void doesNotReuseAConnectionThatTheEngineWantsClosed() throws Exception {
     String closing = OWN.replace("X-Id", "Connection: close\r\nX-Id");
     try (ScriptedEngine engine =
         new ScriptedEngine(new Response(closing, After.KEEP), new Response(SECOND, After.KEEP))) {
       Engine target = engineAt(engine.port());
-      ask(target, "r1");
-      ask(target, "r2");
+      sendAndAwait(target, "r1");
+      sendAndAwait(target, "r2");
       assertEquals(2, engine.connections());
     }
   }
 
   @Test
-  void aConnectionToAFormerLifeOfAnEngineIsNotUsedForTheNextOneAndIsClosed() throws Exception {
+  void closesConnectionsToAnEarlierIncarnationAndDoesNotReuseThem() throws Exception {
     try (ScriptedEngine engine =
         new ScriptedEngine(
             new Response(OWN, After.KEEP),
             new Response(SECOND, After.KEEP),
             new Response(OWN.replace("r1", "r3"), After.KEEP))) {
       EngineDirectory directory = new EngineDirectory(1);
-      directory.put(bornAt(engine.port(), 1_000));
+      directory.put(startedAt(engine.port(), 1_000));
       Engine former = directory.ofService("s").get(0);
-      assertEquals("200 body", ask(former, "r1"));
-      directory.put(bornAt(engine.port(), 2_000));
+      assertEquals("200 body", sendAndAwait(former, "r1"));
+      directory.put(startedAt(engine.port(), 2_000));
       Engine present = directory.ofService("s").get(0);
-      assertEquals("200 body", ask(present, "r2"));
+      assertEquals("200 body", sendAndAwait(present, "r2"));
       assertEquals(2, engine.connections());
       engine.awaitOpen(1);
-      assertEquals("200 body", ask(present, "r3"));
+      assertEquals("200 body", sendAndAwait(present, "r3"));
       assertEquals(2, engine.connections());
     }
   }
 
-  private static EngineRecord bornAt(int port, long bornMillis) {
-    return new EngineRecord("e", "s", "127.0.0.1", port, "z", 4, false, 0, bornMillis);
+  private static EngineRecord startedAt(int port, long startMillis) {
+    return new EngineRecord("e", "s", "127.0.0.1", port, "z", 4, false, 0, startMillis);
   }
 
   @Test
-  void aRefusedConnectionMeansThatNothingWasSent() throws Exception {
+  void reportsNotSentIfTheConnectionIsRefused() throws Exception {
     int port;
     try (ScriptedEngine engine = new ScriptedEngine(new Response(OWN, After.KEEP))) {
       port = engine.port();
     }
-    assertEquals("NOT_SENT", ask(engineAt(port), "r1"));
+    assertEquals("NOT_SENT", sendAndAwait(engineAt(port), "r1"));
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestHttpLoadReports.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestHttpLoadReportClient.java
@@ -31,12 +31,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class TestHttpLoadReports {
+class TestHttpLoadReportClient {
   private static final long LAG_MILLIS = 200;
   private static final String REPORT = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n7";
 
   /** Longer than a connection is kept without questions, with a round of clearing up. */
-  private static final long UNUSED_MILLIS = 4_500;
+  private static final long IDLE_MILLIS = 4_500;
 
   /** A report is one number, the requests that run. */
   private static final LoadReportFormat FORMAT =
@@ -81,25 +81,25 @@
     return directory.ofService("s").get(0);
   }
 
-  private CompletableFuture<LoadQueryResult> begin(Engine engine) {
-    CompletableFuture<LoadQueryResult> answer = new CompletableFuture<>();
-    group.next().execute(() -> reports.query(engine, answer::complete));
-    return answer;
+  private CompletableFuture<LoadQueryResult> queryAsync(Engine engine) {
+    CompletableFuture<LoadQueryResult> result = new CompletableFuture<>();
+    group.next().execute(() -> reports.query(engine, result::complete));
+    return result;
   }
 
-  private LoadQueryResult ask(Engine engine) throws Exception {
-    return begin(engine).get(20, TimeUnit.SECONDS);
+  private LoadQueryResult queryAndAwait(Engine engine) throws Exception {
+    return queryAsync(engine).get(20, TimeUnit.SECONDS);
   }
 
   @Test
-  void oneConnectionIsKeptForAllQuestionsToAnEngine() throws Exception {
+  void reusesOneConnectionForAllQueriesToAnEngine() throws Exception {
     try (ScriptedEngine server = new ScriptedEngine(new Response(REPORT, After.KEEP))) {
       Engine engine = engineAt(server.port());
       for (int i = 0; i < 3; i++) {
-        LoadQueryResult.Reported told =
-            assertInstanceOf(LoadQueryResult.Reported.class, ask(engine));
-        assertEquals(new LoadReport(new EngineLoad(0, 7, 0, 0), 5), told.report());
-        long ageMillis = (System.nanoTime() - told.asOfNanos()) / 1_000_000;
+        LoadQueryResult.Reported reported =
+            assertInstanceOf(LoadQueryResult.Reported.class, queryAndAwait(engine));
+        assertEquals(new LoadReport(new EngineLoad(0, 7, 0, 0), 5), reported.report());
+        long ageMillis = (System.nanoTime() - reported.asOfNanos()) / 1_000_000;
         assertTrue(ageMillis >= LAG_MILLIS, "a report tells the past: " + ageMillis);
       }
       assertEquals(1, server.connections());
@@ -108,13 +108,13 @@
   }
 
   @Test
-  void theConnectionToAnEngineThatIsNotAskedAnyMoreIsClosed() throws Exception {
+  void closesTheConnectionToAnEngineThatIsNoLongerQueried() throws Exception {
     try (ScriptedEngine server = new ScriptedEngine(new Response(REPORT, After.KEEP))) {
       Engine engine = engineAt(server.port());
-      ask(engine);
-      Thread.sleep(UNUSED_MILLIS);
+      queryAndAwait(engine);
+      Thread.sleep(IDLE_MILLIS);
       assertEquals(0, server.open());
-      assertInstanceOf(LoadQueryResult.Reported.class, ask(engine));
+      assertInstanceOf(LoadQueryResult.Reported.class, queryAndAwait(engine));
       assertEquals(2, server.connections());
     }
   }
@@ -125,10 +125,10 @@
     "403 Forbidden, Unavailable[reason=status 403]",
     "503 Unavailable, NoResponse[reason=status 503]",
   })
-  void anErrorIsNoReport(String status, String expected) throws Exception {
+  void aFailureStatusYieldsNoReport(String status, String expected) throws Exception {
     String bytes = "HTTP/1.1 " + status + "\r\nContent-Length: 0\r\n\r\n";
     try (ScriptedEngine server = new ScriptedEngine(new Response(bytes, After.KEEP))) {
-      assertEquals(expected, ask(engineAt(server.port())).toString());
+      assertEquals(expected, queryAndAwait(engineAt(server.port())).toString());
     }
   }
 
@@ -136,26 +136,27 @@
   void bytesThatAreNoReportAreSaidToBeNone() throws Exception {
     String bytes = REPORT.replace("7", "x");
     try (ScriptedEngine server = new ScriptedEngine(new Response(bytes, After.KEEP))) {
-      assertEquals(new LoadQueryResult.Unavailable("no report"), ask(engineAt(server.port())));
+      assertEquals(
+          new LoadQueryResult.Unavailable("no report"), queryAndAwait(engineAt(server.port())));
     }
   }
 
   @Test
-  void anEngineThatClosesWithoutAnAnswerHasLostTheQuestionAndIsAskedAnew() throws Exception {
+  void anEngineThatClosesWithoutResponseLosesTheQueryAndCanBeQueriedAgain() throws Exception {
     try (ScriptedEngine server =
         new ScriptedEngine(new Response("", After.CLOSE), new Response(REPORT, After.KEEP))) {
       Engine engine = engineAt(server.port());
-      assertInstanceOf(LoadQueryResult.NoResponse.class, ask(engine));
-      assertInstanceOf(LoadQueryResult.Reported.class, ask(engine));
+      assertInstanceOf(LoadQueryResult.NoResponse.class, queryAndAwait(engine));
+      assertInstanceOf(LoadQueryResult.Reported.class, queryAndAwait(engine));
     }
   }
 
   @Test
-  void aSilentEngineIsGivenUpAndNotAskedTwiceMeanwhile() throws Exception {
+  void aSilentEngineIsQueriedOnceUntilTheTimeLimit() throws Exception {
     try (ScriptedEngine server = new ScriptedEngine(new Response("", After.KEEP))) {
       Engine engine = engineAt(server.port());
-      CompletableFuture<LoadQueryResult> first = begin(engine);
-      CompletableFuture<LoadQueryResult> second = begin(engine);
+      CompletableFuture<LoadQueryResult> first = queryAsync(engine);
+      CompletableFuture<LoadQueryResult> second = queryAsync(engine);
       assertEquals(
           new LoadQueryResult.NoResponse("a question is under way"),
           second.get(20, TimeUnit.SECONDS));
@@ -165,11 +166,11 @@
   }
 
   @Test
-  void anEngineThatIsNotThereHasLostTheQuestion() throws Exception {
+  void anUnreachableEngineLosesTheQuery() throws Exception {
     int port;
     try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       port = closed.getLocalPort();
     }
-    assertInstanceOf(LoadQueryResult.NoResponse.class, ask(engineAt(port)));
+    assertInstanceOf(LoadQueryResult.NoResponse.class, queryAndAwait(engineAt(port)));
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestIngressConnection.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestIngressConnection.java
@@ -27,7 +27,7 @@
 class TestIngressConnection {
   private static final String ANSWER =
       "HTTP/1.1 200 OK\r\nX-Id: r1\r\nX-Signed: s\r\nContent-Length: 4\r\n\r\nbody";
-  private static final int PATIENCE_MILLIS = 20_000;
+  private static final int TIMEOUT_MILLIS = 20_000;
   private static final int LONG_BODY = 16 << 20;
   private static final RequestLimits LIMITS = new RequestLimits(2_000, 100, 3_000, 15_000);
 
@@ -76,31 +76,31 @@
 
   private Socket connect() throws IOException {
     Socket socket = new Socket("127.0.0.1", port);
-    socket.setSoTimeout(PATIENCE_MILLIS);
+    socket.setSoTimeout(TIMEOUT_MILLIS);
     return socket;
   }
 
   /** Sends bytes on an open connection and reads until so many whole answers have come. */
-  private static String exchange(Socket socket, String bytes, int answers) throws IOException {
+  private static String exchange(Socket socket, String bytes, int responses) throws IOException {
     socket.getOutputStream().write(bytes.getBytes(StandardCharsets.US_ASCII));
-    StringBuilder answer = new StringBuilder();
-    while (answer.toString().split("body", -1).length <= answers) {
+    StringBuilder response = new StringBuilder();
+    while (response.toString().split("body", -1).length <= responses) {
       int octet = socket.getInputStream().read();
       if (octet < 0) {
-        throw new IOException("closed after: " + answer);
+        throw new IOException("closed after: " + response);
       }
-      answer.append((char) octet);
+      response.append((char) octet);
     }
-    return answer.toString();
+    return response.toString();
   }
 
   @Test
-  void passesARequestOnAndKeepsTheConnection() throws IOException {
+  void forwardsARequestAndKeepsTheConnection() throws IOException {
     String request = "POST /p/x HTTP/1.1\r\nHost: h\r\nX-Id: r1\r\nContent-Length: 2\r\n\r\nab";
     try (Socket socket = connect()) {
-      String answer = exchange(socket, request, 1);
-      assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
-      assertTrue(answer.contains("X-Signed: s"), answer);
+      String response = exchange(socket, request, 1);
+      assertTrue(response.startsWith("HTTP/1.1 200"), response);
+      assertTrue(response.contains("X-Signed: s"), response);
       assertTrue(exchange(socket, request, 1).startsWith("HTTP/1.1 200"), "still open");
     }
   }
@@ -117,19 +117,19 @@
     "not HTTP, nonsense||, 400",
     "too long, POST /p/x HTTP/1.1|Host: h|X-Id: r1|Content-Length: 101||, 413",
   })
-  void aMalformedRequestIsRefusedAndTheConnectionClosed(String name, String bytes, int status)
+  void refusesAMalformedRequestAndClosesTheConnection(String name, String bytes, int status)
       throws IOException {
-    String answer = exchangeToEnd(bytes.replace("|", "\r\n"));
-    assertTrue(answer.startsWith("HTTP/1.1 " + status), answer);
+    String response = exchangeToEnd(bytes.replace("|", "\r\n"));
+    assertTrue(response.startsWith("HTTP/1.1 " + status), response);
     assertEquals(List.of(), engine.requests());
   }
 
   @Test
-  void headersBeyondTheLimitAreRefused() throws IOException {
+  void refusesHeadersBeyondTheLimit() throws IOException {
     String long431 = "X-Long: " + "a".repeat(3_000);
-    String answer =
+    String response =
         exchangeToEnd("POST /p/x HTTP/1.1\r\nHost: h\r\nX-Id: r1\r\n" + long431 + "\r\n\r\n");
-    assertTrue(answer.startsWith("HTTP/1.1 431"), answer);
+    assertTrue(response.startsWith("HTTP/1.1 431"), response);
   }
 
   @ParameterizedTest(name = "{0}")
@@ -138,18 +138,19 @@
     "no host, POST /p/x HTTP/1.1|X-Id: r1|Content-Length: 16777216||, 400",
     "not HTTP, nonsense||, 400",
   })
-  void aCallerThatIsStillSendingGetsTheWholeRefusal(String name, String head, int status)
+  void deliversARefusalToACallerThatIsStillSending(String name, String head, int status)
       throws IOException {
     try (Socket socket = connect()) {
       socket.getOutputStream().write(head.replace("|", "\r\n").getBytes(StandardCharsets.US_ASCII));
       socket.getOutputStream().write(new byte[LONG_BODY]);
-      String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-      assertTrue(answer.startsWith("HTTP/1.1 " + status), answer);
+      String response =
+          new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+      assertTrue(response.startsWith("HTTP/1.1 " + status), response);
     }
   }
 
   @Test
-  void aRequestHiddenInABodyIsNotSeen() throws IOException {
+  void doesNotReadARequestHiddenInABody() throws IOException {
     String hidden = "GET /p/y HTTP/1.1\r\nHost: h\r\nX-Id: r9\r\n\r\n";
     String request =
         "POST /p/x HTTP/1.1\r\nHost: h\r\nX-Id: r1\r\nContent-Length: "
@@ -164,11 +165,11 @@
   }
 
   @Test
-  void requestsOnOneConnectionAreAnsweredInOrder() throws IOException {
+  void respondsToPipelinedRequestsInOrder() throws IOException {
     String request = "GET /p/x HTTP/1.1\r\nHost: h\r\nX-Id: r1\r\n\r\n";
     try (Socket socket = connect()) {
-      String answers = exchange(socket, request + request, 2);
-      assertEquals(3, answers.split("HTTP/1.1 200", -1).length, answers);
+      String responses = exchange(socket, request + request, 2);
+      assertEquals(3, responses.split("HTTP/1.1 200", -1).length, responses);
     }
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestLingeringClose.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestLingeringClose.java
@@ -21,7 +21,7 @@
 
 class TestLingeringClose {
   private static final int LONG_REQUEST = 16 << 20;
-  private static final int PATIENCE_MILLIS = 20_000;
+  private static final int TIMEOUT_MILLIS = 20_000;
 
   /** Answers the first bytes and ends the connection. */
   private static final class RefusingHandler extends ChannelInboundHandlerAdapter {
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void aCallerThatIsStillSendingGetsTheWholeAnswer() throws Exception {
+  void deliversTheResponseToACallerThatIsStillSending() throws Exception {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try {
       ServerBootstrap server =
@@ -51,10 +51,10 @@
       InetSocketAddress address =
           (InetSocketAddress) server.bind("127.0.0.1", 0).sync().channel().localAddress();
       try (Socket caller = new Socket("127.0.0.1", address.getPort())) {
-        caller.setSoTimeout(PATIENCE_MILLIS);
+        caller.setSoTimeout(TIMEOUT_MILLIS);
         caller.getOutputStream().write(new byte[LONG_REQUEST]);
-        byte[] answer = caller.getInputStream().readAllBytes();
-        assertEquals("refused", new String(answer, StandardCharsets.US_ASCII));
+        byte[] response = caller.getInputStream().readAllBytes();
+        assertEquals("refused", new String(response, StandardCharsets.US_ASCII));
       }
     } finally {
       group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestNettyLogging.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestNettyLogging.java
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void warningsAndErrorsBecomeEventsAndTheRestIsLeftOut() {
+  void logsWarningsAndErrorsAndDiscardsLowerLevels() {
     NettyLogging.install((event, fields) -> lines.add(event + " " + Arrays.toString(fields)));
     InternalLogger logger = InternalLoggerFactory.getInstance("a.Class");
     logger.debug("not told");
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSilentConnections.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSilentConnections.java
@@ -101,7 +101,7 @@
   }
 
   @Test
-  void anEnginesOtherKeptConnectionsAreNotTrustedEither() throws Exception {
+  void closesTheIdleConnectionsToAnEngineAfterOneStayedSilent() throws Exception {
     try (ScriptedEngine server = new ScriptedEngine(ANSWER);
         SilencingProxy proxy = new SilencingProxy(server.port())) {
       EngineDirectory directory = new EngineDirectory(1);
@@ -128,33 +128,34 @@
     }
   }
 
-  private StoreReply call(PooledHttpClient caller, long timeoutMillis) throws Exception {
-    return begin(caller, timeoutMillis).get(20, TimeUnit.SECONDS);
+  private StoreReply call(PooledHttpClient storeClient, long timeoutMillis) throws Exception {
+    return callAsync(storeClient, timeoutMillis).get(20, TimeUnit.SECONDS);
   }
 
-  private CompletableFuture<StoreReply> begin(PooledHttpClient caller, long timeoutMillis) {
+  private CompletableFuture<StoreReply> callAsync(
+      PooledHttpClient storeClient, long timeoutMillis) {
     CompletableFuture<StoreReply> reply = new CompletableFuture<>();
     StoreCall call = new StoreCall(StoreCall.Method.GET, "/x", null, timeoutMillis, false);
-    group.next().execute(() -> caller.call(call, reply::complete));
+    group.next().execute(() -> storeClient.call(call, reply::complete));
     return reply;
   }
 
   @Test
-  void theStoresOtherKeptConnectionsAreNotTrustedEither() throws Exception {
+  void closesTheIdleConnectionsToTheStoreAfterOneStayedSilent() throws Exception {
     try (ScriptedEngine server = new ScriptedEngine(ANSWER);
         SilencingProxy proxy = new SilencingProxy(server.port())) {
-      PooledHttpClient caller =
+      PooledHttpClient storeClient =
           new PooledHttpClient(
               group,
               new InetSocketAddress("127.0.0.1", proxy.port()),
               (event, fields) -> events.add(event));
-      CompletableFuture<StoreReply> first = begin(caller, 5_000);
-      CompletableFuture<StoreReply> second = begin(caller, 5_000);
+      CompletableFuture<StoreReply> first = callAsync(storeClient, 5_000);
+      CompletableFuture<StoreReply> second = callAsync(storeClient, 5_000);
       assertInstanceOf(StoreReply.Answered.class, first.get(20, TimeUnit.SECONDS));
       assertInstanceOf(StoreReply.Answered.class, second.get(20, TimeUnit.SECONDS));
       proxy.silence();
-      assertInstanceOf(StoreReply.Lost.class, call(caller, 300));
-      assertInstanceOf(StoreReply.Answered.class, call(caller, 5_000));
+      assertInstanceOf(StoreReply.Lost.class, call(storeClient, 300));
+      assertInstanceOf(StoreReply.Answered.class, call(storeClient, 5_000));
       assertEquals(List.of(GatewayEvent.CONNECTION_SILENT), events);
     }
   }
@@ -162,8 +163,8 @@
   private static final LinkServices SERVICES =
       new LinkServices() {
         @Override
-        public void callStore(StoreCall call, Consumer<StoreReply> answer) {
-          answer.accept(new StoreReply.Answered(200, new byte[0]));
+        public void callStore(StoreCall call, Consumer<StoreReply> callback) {
+          callback.accept(new StoreReply.Answered(200, new byte[0]));
         }
 
         @Override
@@ -185,7 +186,7 @@
   }
 
   @Test
-  void aLinkThatFellSilentIsMadeAnew() throws Exception {
+  void replacesASilentConnectionToAPeer() throws Exception {
     InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
     var bound = new LinkServer(SERVICES).listen(group, any).syncUninterruptibly();
     int port = ((InetSocketAddress) bound.channel().localAddress()).getPort();
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSlowCallers.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSlowCallers.java
@@ -42,9 +42,9 @@
   /** What one read of an engine's connection may bring beyond the bound. */
   private static final long ONE_READ_BYTES = 1 << 20;
 
-  private static final int PATIENCE_MILLIS = 60_000;
+  private static final int TIMEOUT_MILLIS = 60_000;
   private static final RequestLimits LIMITS =
-      new RequestLimits(2_000, 100, PATIENCE_MILLIS, PATIENCE_MILLIS);
+      new RequestLimits(2_000, 100, TIMEOUT_MILLIS, TIMEOUT_MILLIS);
   private static final String REQUEST =
       "POST /p/x HTTP/1.1\r\nHost: h\r\nX-Id: r1\r\nContent-Length: 0\r\n\r\n";
 
@@ -74,7 +74,7 @@
             "h",
             "/p/",
             kind,
-            PATIENCE_MILLIS,
+            TIMEOUT_MILLIS,
             100,
             300,
             0,
@@ -91,7 +91,7 @@
         () -> {
           while (true) {
             Socket socket = engine.accept();
-            inBackground(() -> answer(socket, kind));
+            inBackground(() -> respond(socket, kind));
           }
         });
   }
@@ -111,7 +111,7 @@
     thread.start();
   }
 
-  private Void answer(Socket socket, RouteKind kind) throws IOException {
+  private Void respond(Socket socket, RouteKind kind) throws IOException {
     try (socket) {
       readHead(socket.getInputStream());
       OutputStream out = socket.getOutputStream();
@@ -156,16 +156,16 @@
     Socket socket = new Socket();
     callers.add(socket);
     socket.setReceiveBufferSize(256 << 10);
-    socket.setSoTimeout(PATIENCE_MILLIS);
+    socket.setSoTimeout(TIMEOUT_MILLIS);
     socket.connect(new InetSocketAddress("127.0.0.1", gateway.port()));
     socket.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
     return socket;
   }
 
   private static void await(Callable<Boolean> condition) throws Exception {
-    long end = System.nanoTime() + PATIENCE_MILLIS * 1_000_000L;
+    long end = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
     while (!condition.call()) {
-      assertTrue(System.nanoTime() - end < 0, "not within " + PATIENCE_MILLIS + " ms");
+      assertTrue(System.nanoTime() - end < 0, "not within " + TIMEOUT_MILLIS + " ms");
       Thread.sleep(20);
     }
   }
@@ -214,7 +214,7 @@
     }
   }
 
-  private void awaitStandstill() throws Exception {
+  private void awaitPausedEngine() throws Exception {
     await(() -> gateway.paused() > 0);
     long before = -1;
     while (before != engineWrote.get()) {
@@ -224,10 +224,10 @@
   }
 
   @Test
-  void anEngineIsReadNoFasterThanItsCallerReads() throws Exception {
+  void readsAnEngineNoFasterThanItsCallerReads() throws Exception {
     start(RouteKind.STREAMING, HeldBytesLimiter.Bounds.DEFAULT);
     Socket caller = call();
-    awaitStandstill();
+    awaitPausedEngine();
     long held = gateway.heldBytes();
     assertTrue(held >= CALL_BYTES && held < CALL_BYTES + ONE_READ_BYTES, "held " + held);
     assertTrue(engineWrote.get() < SOCKETS_BYTES, "engine wrote " + engineWrote);
@@ -237,7 +237,7 @@
   }
 
   @Test
-  void anAnswerThatIsWholeIsDeliveredLateAfterItsEngineIsDone() throws Exception {
+  void deliversACompleteResponseAfterItsEngineHasFinished() throws Exception {
     start(RouteKind.UNSAFE, new HeldBytesLimiter.Bounds(CALL_BYTES, 8 << 20, 5_000));
     Socket caller = call();
     await(() -> engineWrote.get() == ANSWER_BYTES);
@@ -256,7 +256,7 @@
   }
 
   @Test
-  void aPlannedStopWaitsForWhatIsNotReadYet() throws Exception {
+  void aPlannedStopWaitsForUnreadResponses() throws Exception {
     start(RouteKind.UNSAFE, HeldBytesLimiter.Bounds.DEFAULT);
     Socket caller = call();
     await(() -> gateway.heldBytes() > CALL_BYTES);
@@ -267,10 +267,10 @@
   }
 
   @Test
-  void callersThatReadNothingGiveWayWhenTheNodeHoldsItsBound() throws Exception {
+  void disconnectsCallersThatReadNothingWhenTheNodeIsAtItsLimit() throws Exception {
     start(RouteKind.STREAMING, new HeldBytesLimiter.Bounds(64 << 10, 160 << 10, 3_000));
     Socket first = call();
-    awaitStandstill();
+    awaitPausedEngine();
     assertEquals(List.of(), gateway.events());
     call();
     call();
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLink.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLink.java
@@ -30,7 +30,7 @@
 
 class TestLink {
   private static final String LOOPBACK = "127.0.0.1";
-  private static final long PATIENCE_SECONDS = 10;
+  private static final long TIMEOUT_SECONDS = 10;
   private static final ProgramId PROGRAM = new ProgramId("p");
   private static final GrantTransfer TRANSFER = new GrantTransfer(500, 2_000, 17, 99);
   private static final StoredTurn TURN =
@@ -49,8 +49,8 @@
   private static LinkServices services(StoreClient store) {
     return new LinkServices() {
       @Override
-      public void callStore(StoreCall call, Consumer<StoreReply> answer) {
-        store.call(call, answer);
+      public void callStore(StoreCall call, Consumer<StoreReply> callback) {
+        store.call(call, callback);
       }
 
       @Override
@@ -76,7 +76,7 @@
   private StoreReply call(PeerAddress peer, StoreCall call) throws Exception {
     CompletableFuture<StoreReply> reply = new CompletableFuture<>();
     group.next().execute(() -> client.call(peer, call, reply::complete));
-    return reply.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    return reply.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   private static StoreCall change(String body, long timeoutMillis) {
@@ -89,9 +89,9 @@
   }
 
   @Test
-  void anAnswerComesBackWithItsOwnCall() throws Exception {
+  void returnsTheReplyOfEachStoreCall() throws Exception {
     PeerAddress peer =
-        serve((call, answer) -> answer.accept(new StoreReply.Answered(412, call.body())));
+        serve((call, callback) -> callback.accept(new StoreReply.Answered(412, call.body())));
     for (String body : new String[] {"one", "two", "x".repeat(300_000)}) {
       StoreReply reply = call(peer, change(body, 5_000));
       StoreReply.Answered answered = assertInstanceOf(StoreReply.Answered.class, reply);
@@ -101,18 +101,18 @@
   }
 
   @Test
-  void whatBecameOfACallKeepsItsMeaning() throws Exception {
+  void relaysTheOutcomeOfAStoreCallUnchanged() throws Exception {
     PeerAddress notSent =
-        serve((call, answer) -> answer.accept(new StoreReply.NotSent("no way to the store")));
-    PeerAddress lost = serve((call, answer) -> answer.accept(new StoreReply.Lost("time-out")));
+        serve((call, callback) -> callback.accept(new StoreReply.NotSent("no way to the store")));
+    PeerAddress lost = serve((call, callback) -> callback.accept(new StoreReply.Lost("time-out")));
     assertEquals(new StoreReply.NotSent("no way to the store"), call(notSent, change("", 5_000)));
     assertEquals(new StoreReply.Lost("time-out"), call(lost, change("", 5_000)));
   }
 
   @Test
-  void aNodeThatIsNotThereSentNothing() throws Exception {
+  void aStoreCallToAnAbsentPeerWasNotSent() throws Exception {
     ChannelFuture closed =
-        new LinkServer(services((call, answer) -> {}))
+        new LinkServer(services((call, callback) -> {}))
             .listen(group, new InetSocketAddress(LOOPBACK, 0));
     closed.syncUninterruptibly();
     int port = ((InetSocketAddress) closed.channel().localAddress()).getPort();
@@ -122,15 +122,15 @@
   }
 
   @Test
-  void aCallWithoutAnAnswerIsLostAtItsTimeOut() throws Exception {
-    PeerAddress silent = serve((call, answer) -> {});
+  void aStoreCallWithoutReplyIsLostAtItsTimeLimit() throws Exception {
+    PeerAddress silent = serve((call, callback) -> {});
     assertInstanceOf(StoreReply.Lost.class, call(silent, change("", 100)));
   }
 
   @Test
-  void aConnectionWithNonsenseIsClosedAndTheServerGoesOn() throws Exception {
+  void closesAConnectionWithInvalidBytesAndKeepsServingOthers() throws Exception {
     PeerAddress peer =
-        serve((call, answer) -> answer.accept(new StoreReply.Answered(200, new byte[0])));
+        serve((call, callback) -> callback.accept(new StoreReply.Answered(200, new byte[0])));
     try (Socket socket = new Socket(LOOPBACK, peer.port())) {
       OutputStream out = socket.getOutputStream();
       out.write(new byte[] {0, 0, 0, 9, 1, 2, 3, 4, 5, 6, 7, 8, 9});
@@ -141,8 +141,8 @@
   }
 
   @Test
-  void aGrantIsHandedOverWhole() throws Exception {
-    PeerAddress peer = serve((call, answer) -> {});
+  void handsOverTheRemainingGrant() throws Exception {
+    PeerAddress peer = serve((call, callback) -> {});
     for (String program : new String[] {"p", "unknown"}) {
       CompletableFuture<Optional<GrantTransfer>> transfer = new CompletableFuture<>();
       group
@@ -150,16 +150,16 @@
           .execute(() -> client.requestGrant(peer, new ProgramId(program), transfer::complete));
       assertEquals(
           program.equals("p") ? Optional.of(TRANSFER) : Optional.empty(),
-          transfer.get(PATIENCE_SECONDS, TimeUnit.SECONDS));
+          transfer.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
   }
 
   @Test
-  void turnsAreHandedOverWhole() throws Exception {
-    PeerAddress peer = serve((call, answer) -> {});
+  void handsOverTurnsUnchanged() throws Exception {
+    PeerAddress peer = serve((call, callback) -> {});
     CompletableFuture<List<StoredTurn>> turns = new CompletableFuture<>();
     group.next().execute(() -> client.requestTurns(peer, "t2", turns::complete));
-    StoredTurn turn = turns.get(PATIENCE_SECONDS, TimeUnit.SECONDS).get(0);
+    StoredTurn turn = turns.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).get(0);
     assertEquals(TURN.chain(), turn.chain());
     assertArrayEquals(TURN.input(), turn.input());
     assertArrayEquals(TURN.output(), turn.output());
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLinkCodec.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLinkCodec.java
@@ -24,24 +24,24 @@
       new LinkMessage.StoreRequest(
           7, new StoreCall(StoreCall.Method.POST, "/t", new byte[] {1, 2, 3}, 1_000, false));
   private static final LinkMessage REPLY =
-      new LinkMessage.StoreAnswer(7, new StoreReply.Answered(200, new byte[] {4, 5}));
+      new LinkMessage.StoreResponse(7, new StoreReply.Answered(200, new byte[] {4, 5}));
 
   private static final List<LinkMessage> MESSAGES =
       List.of(
           REQUEST,
           REPLY,
           new LinkMessage.GrantRequest(1, new ProgramId("p")),
-          new LinkMessage.GrantAnswer(1, Optional.of(new GrantTransfer(5, 10, 3, 4))),
+          new LinkMessage.GrantResponse(1, Optional.of(new GrantTransfer(5, 10, 3, 4))),
           new LinkMessage.TurnsRequest(1, "t"),
-          new LinkMessage.TurnsAnswer(
+          new LinkMessage.TurnsResponse(
               1, List.of(new StoredTurn("t", List.of("s"), new byte[3], new byte[4]))));
 
-  static Stream<byte[]> nonsense() {
+  static Stream<byte[]> invalidMessages() {
     byte[] otherSchema = LinkCodec.encode(REPLY);
     otherSchema[4] ^= 1;
-    byte[] otherMessage = LinkCodec.encode(REPLY);
-    otherMessage[2] = 60;
-    byte[] cut = LinkCodec.encode(REQUEST);
+    byte[] unknownKind = LinkCodec.encode(REPLY);
+    unknownKind[2] = 60;
+    byte[] request = LinkCodec.encode(REQUEST);
     LinkMessage relative =
         new LinkMessage.StoreRequest(
             1, new StoreCall(StoreCall.Method.GET, "elsewhere", null, 1_000, false));
@@ -50,23 +50,23 @@
         new byte[5],
         new byte[64],
         otherSchema,
-        otherMessage,
-        Arrays.copyOf(cut, cut.length - 2),
+        unknownKind,
+        Arrays.copyOf(request, request.length - 2),
         LinkCodec.encode(relative),
         LinkCodec.encode(
-            new LinkMessage.GrantAnswer(1, Optional.of(new GrantTransfer(-5, 10, 3, 4)))),
+            new LinkMessage.GrantResponse(1, Optional.of(new GrantTransfer(-5, 10, 3, 4)))),
         LinkCodec.encode(
-            new LinkMessage.GrantAnswer(1, Optional.of(new GrantTransfer(50, 10, 3, 4)))));
+            new LinkMessage.GrantResponse(1, Optional.of(new GrantTransfer(50, 10, 3, 4)))));
   }
 
   @ParameterizedTest
-  @MethodSource("nonsense")
-  void bytesThatAreNoMessageAreToldApart(byte[] bytes) {
+  @MethodSource("invalidMessages")
+  void rejectsInvalidMessages(byte[] bytes) {
     assertThrows(LinkCodec.MalformedMessageException.class, () -> LinkCodec.decode(bytes));
   }
 
   @Test
-  void damagedBytesNeverDoMoreThanFail() {
+  void corruptedBytesCauseNoOtherException() {
     Random random = new Random(1);
     for (int i = 0; i < TRIALS; i++) {
       byte[] bytes = LinkCodec.encode(MESSAGES.get(i % MESSAGES.size()));
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void aTimeOutIsBounded() {
+  void capsTheTimeLimitOfAStoreCall() {
     LinkMessage endless =
         new LinkMessage.StoreRequest(
             1, new StoreCall(StoreCall.Method.GET, "/t", null, 4_000_000_000L, true));
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLinksOfProduction.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLinkCompatibility.java
@@ -16,46 +16,46 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Connections between nodes of this build and of the one in production. */
-class TestLinksOfProduction {
+class TestLinkCompatibility {
   private static final RecordedBytes RECORDED = new RecordedBytes("link.hex");
 
   private static final Map<String, Class<? extends LinkMessage>> KINDS =
       Map.of(
           "store-request", LinkMessage.StoreRequest.class,
           "store-poll", LinkMessage.StoreRequest.class,
-          "store-answered", LinkMessage.StoreAnswer.class,
-          "store-lost", LinkMessage.StoreAnswer.class,
-          "store-not-sent", LinkMessage.StoreAnswer.class,
+          "store-answered", LinkMessage.StoreResponse.class,
+          "store-lost", LinkMessage.StoreResponse.class,
+          "store-not-sent", LinkMessage.StoreResponse.class,
           "grant-request", LinkMessage.GrantRequest.class,
-          "grant-answer", LinkMessage.GrantAnswer.class,
-          "grant-unknown", LinkMessage.GrantAnswer.class,
+          "grant-answer", LinkMessage.GrantResponse.class,
+          "grant-unknown", LinkMessage.GrantResponse.class,
           "turns-request", LinkMessage.TurnsRequest.class,
-          "turns-answer", LinkMessage.TurnsAnswer.class);
+          "turns-answer", LinkMessage.TurnsResponse.class);
 
   static Stream<String> names() {
     return RECORDED.all().keySet().stream();
   }
 
   @Test
-  void eachRecordedMessageIsAsserted() {
+  void coversEachRecordedMessage() {
     assertEquals(KINDS.keySet(), RECORDED.all().keySet());
   }
 
-  /** Encoded again it has all that it had, so all of it was understood. */
+  /** Encoded again it has all that it had, so all of it was decoded. */
   @ParameterizedTest
   @MethodSource("names")
-  void whatProductionWritesIsUnderstoodAndWhatIsWrittenIsReadThere(String name) {
-    LinkMessage understood = LinkCodec.decode(RECORDED.named(name));
-    assertEquals(KINDS.get(name), understood.getClass());
-    RecordedBytes.assertReadable(RECORDED.named(name), LinkCodec.encode(understood));
+  void decodesRecordedMessagesAndEncodesThemAlike(String name) {
+    LinkMessage decoded = LinkCodec.decode(RECORDED.named(name));
+    assertEquals(KINDS.get(name), decoded.getClass());
+    RecordedBytes.assertReadable(RECORDED.named(name), LinkCodec.encode(decoded));
   }
 
   @ParameterizedTest
   @MethodSource("names")
-  void laterFieldsArePassedOver(String name) {
+  void ignoresFieldsOfALaterVersion(String name) {
     byte[] recorded = RECORDED.named(name);
-    LinkMessage understood = LinkCodec.decode(RecordedBytes.withLaterFields(recorded, 5));
-    RecordedBytes.assertReadable(recorded, LinkCodec.encode(understood));
+    LinkMessage decoded = LinkCodec.decode(RecordedBytes.withLaterFields(recorded, 5));
+    RecordedBytes.assertReadable(recorded, LinkCodec.encode(decoded));
   }
 
   private static void receive(EmbeddedChannel channel, byte[] message) {
@@ -64,23 +64,23 @@
   }
 
   @Test
-  void aMessageOfALaterKindIsPassedOverAndTheConnectionStays() {
-    List<LinkMessage> heard = new ArrayList<>();
+  void ignoresAMessageOfALaterVersionAndKeepsTheConnection() {
+    List<LinkMessage> received = new ArrayList<>();
     EmbeddedChannel channel = new EmbeddedChannel();
-    LinkChannel.prepare(channel.pipeline(), heard::add, () -> {});
+    LinkChannel.prepare(channel.pipeline(), received::add, () -> {});
     receive(channel, RecordedBytes.withUnknownTemplate(RECORDED.named("grant-answer")));
     receive(channel, RECORDED.named("grant-request"));
     assertTrue(channel.isOpen());
-    assertEquals(List.of(LinkCodec.decode(RECORDED.named("grant-request"))), heard);
+    assertEquals(List.of(LinkCodec.decode(RECORDED.named("grant-request"))), received);
   }
 
   @Test
-  void bytesThatAreNoMessageEndTheConnection() {
-    List<LinkMessage> heard = new ArrayList<>();
+  void closesTheConnectionOnInvalidBytes() {
+    List<LinkMessage> received = new ArrayList<>();
     EmbeddedChannel channel = new EmbeddedChannel();
-    LinkChannel.prepare(channel.pipeline(), heard::add, () -> {});
+    LinkChannel.prepare(channel.pipeline(), received::add, () -> {});
     receive(channel, new byte[64]);
-    assertEquals(List.of(), heard);
+    assertEquals(List.of(), received);
     assertEquals(false, channel.isOpen());
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestEngineLoadNoticeCodec.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestEngineLoadNoticeCodec.java
@@ -29,7 +29,7 @@
 
   @ParameterizedTest(name = "{0} engines")
   @ValueSource(ints = {0, 1, 2, 22, 23, 40, 600})
-  void enginesAreSpreadOverDatagramsThatEachHoldWhatTheySay(int count) {
+  void splitsEnginesIntoNoticesThatFitDatagramsAndDecodeUnchanged(int count) {
     List<PeerMessage.ReportedLoad> read = new ArrayList<>();
     for (PeerMessage.EngineLoadNotice notice : EngineLoadNoticeCodec.split(entries(count))) {
       byte[] datagram = codec.encode(notice);
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void theBytesOfANoticeAreKnownBeforehand() {
+  void computesTheWireSizeOfANoticeBeforeEncoding() {
     PeerMessage.EngineLoadNotice notice = new PeerMessage.EngineLoadNotice(entries(3));
     long entries =
         notice.engines().stream()
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void anEngineThatFitsIntoNoDatagramIsLeftOut() {
+  void omitsAnEngineWhoseIdentifierIsTooLongForADatagram() {
     List<PeerMessage.ReportedLoad> engines =
         List.of(entry("a", 1), entry("x".repeat(2_000), 2), entry("b", 3));
     assertEquals(
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void countsBeyondTheirFieldAreTheGreatestOfIt() {
+  void capsCountsAtTheLargestEncodableValue() {
     EngineLoad load = new EngineLoad(70_000, 1 << 30, 1, 2);
     PeerMessage.ReportedLoad entry = new PeerMessage.ReportedLoad(new EngineId("a"), 0, 0, load);
     byte[] datagram = codec.encode(new PeerMessage.EngineLoadNotice(List.of(entry)));
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void aNoticeThatIsCutAnywhereIsNoMessage() {
+  void rejectsATruncatedNotice() {
     byte[] datagram = codec.encode(new PeerMessage.EngineLoadNotice(entries(2)));
     for (int length = 0; length < datagram.length; length++) {
       assertEquals(Optional.empty(), codec.decode(Arrays.copyOf(datagram, length)));
@@ -80,13 +80,13 @@
   }
 
   @Test
-  void aCountOfEnginesThatIsNotTrueTellsOfNoEngine() {
+  void aWrongEntryCountYieldsNoEngines() {
     byte[] datagram = codec.encode(new PeerMessage.EngineLoadNotice(entries(1)));
-    PeerMessage nothing = new PeerMessage.EngineLoadNotice(List.of());
+    PeerMessage emptyNotice = new PeerMessage.EngineLoadNotice(List.of());
     for (byte count : new byte[] {2, 100, -1}) {
       byte[] changed = datagram.clone();
       Arrays.fill(changed, 10, 14, count);
-      assertEquals(nothing, codec.decode(changed).orElse(nothing));
+      assertEquals(emptyNotice, codec.decode(changed).orElse(emptyNotice));
     }
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestEngineSuspicionGossip.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestEngineSuspicionNotifier.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class TestEngineSuspicionGossip {
+class TestEngineSuspicionNotifier {
   private static final EngineId ENGINE = new EngineId("e1");
 
   private final TestingEventLoop eventLoop = new TestingEventLoop();
@@ -82,7 +82,7 @@
 
   @ParameterizedTest(name = "{0} ms after another node saw the failure: {1}")
   @CsvSource({"1, HEALTHY", "3, SUSPECT", "1400, SUSPECT", "1600, HEALTHY"})
-  void othersLearnOfAFailureAndForgetIt(long millis, EngineHealth expected) {
+  void peersSuspectAnEngineAfterANoticeForALimitedTime(long millis, EngineHealth expected) {
     Node first = started("first", 1);
     Node second = started("second", 2);
     eventLoop.advance(2_000);
@@ -92,7 +92,7 @@
   }
 
   @Test
-  void aSingleFailureIsNoNews() {
+  void aSingleFailureIsNotReportedToPeers() {
     Node first = started("first", 1);
     Node second = started("second", 2);
     eventLoop.advance(2_000);
@@ -111,23 +111,23 @@
     "3, 5900, SUSPECT",
     "3, 6100, HEALTHY",
   })
-  void anEngineThatOthersSuspectAgainIsDistrustedLonger(
+  void repeatedNoticesAboutAnEngineExtendItsSuspicion(
       int reports, long millis, EngineHealth expected) {
     Node second = started("second", 2);
     eventLoop.advance(2_000);
     byte[] report = new PeerMessageCodec().encode(new PeerMessage.EngineSuspicion(ENGINE));
-    PeerTransport others = network.transportOf(new PeerAddress("10.0.0.1", 1));
+    PeerTransport sender = network.transportOf(new PeerAddress("10.0.0.1", 1));
     for (int i = 0; i < reports; i++) {
       eventLoop.advance(7_000);
-      others.send(second.address, report);
-      others.send(second.address, report);
+      sender.send(second.address, report);
+      sender.send(second.address, report);
     }
     eventLoop.advance(millis);
     assertEquals(expected, second.standing());
   }
 
   @Test
-  void aNodeThatStartsLaterIsToldToo() {
+  void aNodeThatStartsLaterReceivesNotices() {
     Node first = started("first", 1);
     eventLoop.advance(5_000);
     Node later = started("later", 2);
@@ -138,7 +138,7 @@
   }
 
   @Test
-  void whatOthersSawIsNotTakenForAnOwnFailure() {
+  void aPeersNoticeIsNeitherForwardedNorPenalized() {
     Node first = started("first", 1);
     Node second = started("second", 2);
     Node third = started("third", 3);
@@ -153,7 +153,7 @@
   }
 
   @Test
-  void aStoreThatIsAwayAtTheStartDelaysOnlyTheNews() {
+  void peersFindEachOtherOnceTheStoreIsAvailable() {
     store.fault(TestingStore.Fault.REFUSE);
     Node first = started("first", 1);
     Node second = started("second", 2);
@@ -165,14 +165,14 @@
   }
 
   @Test
-  void bytesStayBoundedHoweverManyFailuresThereAre() {
+  void sentBytesStayWithinTheRateLimitUnderManyFailures() {
     int peers = 400;
     List<Node> nodes = new ArrayList<>();
     for (int i = 0; i <= peers; i++) {
       nodes.add(new Node("n" + i, i + 1));
     }
     Node first = nodes.get(0);
-    nodes.subList(1, nodes.size()).forEach(node -> first.peers.heardFrom(node.address));
+    nodes.subList(1, nodes.size()).forEach(node -> first.peers.onSender(node.address));
     for (int i = 0; i < 100; i++) {
       EngineRecord record = new EngineRecord("f" + i, "s", "10.0.0.9", 80, "z", 4, false);
       first.engines.put(record);
@@ -181,26 +181,26 @@
       engine.failed(eventLoop.nanoTime());
       eventLoop.advance(100);
     }
-    long tenSeconds = 40_960 + 10 * 8_192;
+    long limitForTenSeconds = 40_960 + 10 * 8_192;
     assertTrue(network.sentBytes() > 0);
-    assertTrue(network.sentBytes() <= tenSeconds, "sent " + network.sentBytes());
+    assertTrue(network.sentBytes() <= limitForTenSeconds, "sent " + network.sentBytes());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "00", "0000000000000000", "02003d00c6020000ff7f", "0000ffffc6020000"})
-  void bytesThatAreNoMessageAreDropped(String hex) {
+  void invalidDatagramsAreRejected(String hex) {
     assertEquals(Optional.empty(), new PeerMessageCodec().decode(HexFormat.of().parseHex(hex)));
   }
 
   @Test
-  void anAnnouncementOfAnOlderVersionTellsNoZone() {
+  void anAnnouncementOfAnOlderVersionDecodesWithoutAZone() {
     byte[] older = HexFormat.of().parseHex("00003c00c6020000");
     assertEquals(
         Optional.of(new PeerMessage.NodeAnnouncement("")), new PeerMessageCodec().decode(older));
   }
 
   @Test
-  void messagesAreReadAsTheyWereWritten() {
+  void messagesDecodeAsTheyWereEncoded() {
     PeerMessageCodec codec = new PeerMessageCodec();
     for (PeerMessage message :
         List.of(new PeerMessage.NodeAnnouncement("z"), new PeerMessage.EngineSuspicion(ENGINE))) {
@@ -209,7 +209,7 @@
   }
 
   @Test
-  void aPlannedStopTakesOnlyItsOwnLifesRowAway() {
+  void aPlannedStopRemovesOnlyTheRowOfItsOwnRun() {
     RowAddress row = new RowAddress("node", "", "first");
     Node before = started("first", 1);
     eventLoop.advance(2_000);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestNodeRow.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestNodeRow.java
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void theRowOfProductionIsRead() {
+  void readsTheRowOfTheVersionInProduction() {
     RowAddress address = new RowAddress("node", "", "front-1");
     List<Transaction.Put> puts = List.of(new Transaction.Put(address, RECORDED));
     store.transact(new Transaction(List.of(), puts, List.of()), outcome -> {});
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void theRowThatIsWrittenIsThatOfProduction() {
+  void writesTheRowOfTheVersionInProduction() {
     joined("front-1", NODE);
     List<StoredRow> rows = new ArrayList<>();
     store.read(
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestMessagesOfProduction.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestPeerMessageCompatibility.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Datagrams between nodes of this build and of the one in production. */
-class TestMessagesOfProduction {
+class TestPeerMessageCompatibility {
   private static final RecordedBytes RECORDED = new RecordedBytes("peer.hex");
   private static final ProgramId PROGRAM = new ProgramId("t/3fa81c");
 
@@ -54,32 +54,32 @@
   }
 
   @Test
-  void eachRecordedMessageIsAsserted() {
+  void coversEachRecordedMessage() {
     assertEquals(MESSAGES.keySet(), RECORDED.all().keySet());
   }
 
   @ParameterizedTest
   @MethodSource("names")
-  void whatProductionWritesIsUnderstood(String name) {
+  void decodesRecordedMessages(String name) {
     assertEquals(Optional.of(MESSAGES.get(name)), codec.decode(RECORDED.named(name)));
   }
 
   @ParameterizedTest
   @MethodSource("names")
-  void whatIsWrittenIsReadInProduction(String name) {
+  void encodesAsTheReleasedVersionReads(String name) {
     RecordedBytes.assertReadable(RECORDED.named(name), codec.encode(MESSAGES.get(name)));
   }
 
   @ParameterizedTest
   @MethodSource("names")
-  void laterFieldsArePassedOver(String name) {
+  void ignoresFieldsOfALaterVersion(String name) {
     byte[] later = RecordedBytes.withLaterFields(codec.encode(MESSAGES.get(name)), 5);
     assertEquals(Optional.of(MESSAGES.get(name)), codec.decode(later));
   }
 
   @ParameterizedTest
   @MethodSource("names")
-  void laterKindsArePassedOver(String name) {
+  void ignoresMessagesOfALaterVersion(String name) {
     byte[] unknown = RecordedBytes.withUnknownTemplate(RECORDED.named(name));
     assertEquals(Optional.empty(), codec.decode(unknown));
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/topology/TestTopology.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/topology/TestTopology.java
@@ -19,12 +19,12 @@
 
   @ParameterizedTest(name = "{0}: {1}")
   @CsvSource({"e1, SAME_ZONE", "e2, SAME_REGION", "w1, OTHER_REGION", "unknown, SAME_REGION"})
-  void zonesRelateByTheirRegions(String zone, Locality locality) {
+  void localityFollowsTheRegionsOfZones(String zone, Locality locality) {
     assertEquals(locality, TOPOLOGY.localityOf(zone));
   }
 
   @Test
-  void withoutAMapThereIsOneRegion() {
+  void withoutAMappingAllZonesAreInOneRegion() {
     Topology topology = Topology.ofOneRegion("a");
     assertEquals(Locality.SAME_REGION, topology.localityOf("b"));
     assertEquals(false, topology.severalRegions());
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void aDistanceIsAssumedUntilItIsMeasured() {
+  void aRoundTripIsAssumedUntilItIsMeasured() {
     RoundTrips roundTrips = new RoundTrips(TOPOLOGY);
     assertEquals(Locality.OTHER_REGION.assumedRoundTripMillis(), roundTrips.millisTo("w1"));
     roundTrips.observe("w1", 61, 5_000_000);
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void theFastestObservationsCountAndOutliersHardly() {
+  void estimatesFollowTheFastestObservationsAndNotOutliers() {
     RoundTrips roundTrips = new RoundTrips(TOPOLOGY);
     for (int i = 0; i < 50; i++) {
       roundTrips.observe("w1", i % 10 == 9 ? 300 : 41, i);
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void aWayThatHasGrownLongerIsLearnt() {
+  void estimatesRiseToALongerRoundTrip() {
     RoundTrips roundTrips = new RoundTrips(TOPOLOGY);
     roundTrips.observe("w1", 10, 0);
     for (int i = 0; i < 200; i++) {
