--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/ByteBudget.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/ByteBudget.java
@@ -1,11 +1,11 @@
 package org.baykeel.gateway.peer;
 
 /**
- * Bounds the bytes that one purpose sends to other nodes: a steady rate, and what was not used of
- * it up to a limit. Used only from the event loop.
+ * A token bucket that limits the bytes sent to peers for one purpose. It refills at a steady rate
+ * up to a burst size. Used only from the event loop.
  */
 public final class ByteBudget {
-  /** Bytes that a datagram takes on a link beyond its content: UDP, IP and Ethernet. */
+  /** Bytes per datagram of UDP, IP and Ethernet headers. */
   private static final int HEADER_BYTES = 46;
 
   private static final double NANOS_PER_SECOND = 1e9;
@@ -16,10 +16,10 @@
   private long refilledNanos;
 
   /**
-   * Creates a budget with all that it can save.
+   * Creates a budget whose bucket is full.
    *
-   * @param bytesPerSecond the steady rate
-   * @param burstBytes what may be sent at once after a calm time
+   * @param bytesPerSecond the refill rate
+   * @param burstBytes the most bytes that may be sent in one burst
    */
   public ByteBudget(long bytesPerSecond, long burstBytes, long nowNanos) {
     this.bytesPerNano = bytesPerSecond / NANOS_PER_SECOND;
@@ -29,15 +29,15 @@
   }
 
   /**
-   * The bytes that a message takes on a link.
+   * Returns the bytes that a datagram occupies on the wire, headers included.
    *
-   * @param contentBytes the message itself
+   * @param contentBytes the length of the payload
    */
   public static long wireBytes(int contentBytes) {
     return contentBytes + HEADER_BYTES;
   }
 
-  /** Takes bytes if there are as many; else takes none. */
+  /** Takes the bytes if the bucket holds as many; otherwise takes none and returns false. */
   public boolean tryConsume(long bytes, long nowNanos) {
     if (available(nowNanos) < bytes) {
       return false;
@@ -46,12 +46,14 @@
     return true;
   }
 
-  /** Takes bytes also if there are not as many; what is missing must be saved first. */
+  /**
+   * Takes the bytes unconditionally; the bucket may become negative and then refills from there.
+   */
   public void consume(long bytes, long nowNanos) {
     availableBytes = available(nowNanos) - bytes;
   }
 
-  /** The bytes that may be sent now; negative after spending more than there were. */
+  /** Returns the bytes that may be sent now; negative if more was consumed than was available. */
   public double available(long nowNanos) {
     availableBytes =
         Math.min(burstBytes, availableBytes + (nowNanos - refilledNanos) * bytesPerNano);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineLoadNoticeCodec.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineLoadNoticeCodec.java
@@ -11,7 +11,7 @@
 import org.baykeel.protocol.generated.MessageHeaderDecoder;
 import org.baykeel.protocol.generated.MessageHeaderEncoder;
 
-/** Notices of engines' load as SBE, and how many engines one datagram holds. */
+/** Encodes notices of engine load as SBE and splits them so that each fits into one datagram. */
 public final class EngineLoadNoticeCodec {
   private static final int ID_LENGTH_FIELD_BYTES = 2;
   private static final int EMPTY_NOTICE_BYTES =
@@ -19,15 +19,15 @@
           + EngineLoadNoticeEncoder.BLOCK_LENGTH
           + EngineLoadNoticeEncoder.EnginesEncoder.sbeHeaderSize();
 
-  /** The greatest number that the field of a count holds. */
+  /** The highest count that the encoded field can hold; the null value follows it. */
   private static final int MAX_COUNT =
       EngineLoadNoticeEncoder.EnginesEncoder.waitingNullValue() - 1;
 
   private EngineLoadNoticeCodec() {}
 
   /**
-   * Spreads engines over notices of which each fits into one datagram. An engine whose identifier
-   * alone is too long for one is left out.
+   * Splits the loads into notices that each fit into one datagram. An engine whose identifier is
+   * too long for a datagram is omitted.
    */
   public static List<PeerMessage.EngineLoadNotice> split(List<PeerMessage.ReportedLoad> engines) {
     List<PeerMessage.EngineLoadNotice> notices = new ArrayList<>();
@@ -52,12 +52,12 @@
     return notices;
   }
 
-  /** The bytes on a link of a notice that tells of no engine. */
+  /** Returns the bytes on the wire of a notice without entries. */
   public static long emptyWireBytes() {
     return ByteBudget.wireBytes(EMPTY_NOTICE_BYTES);
   }
 
-  /** The bytes that an engine adds to a notice. */
+  /** Returns the bytes that the entry of an engine adds to a notice. */
   public static int entryBytes(EngineId engineId) {
     return EngineLoadNoticeEncoder.EnginesEncoder.sbeBlockLength()
         + ID_LENGTH_FIELD_BYTES
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineSuspicionNotifier.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineSuspicionNotifier.java
@@ -9,9 +9,12 @@
 import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
- * Tells the other nodes when an engine becomes suspect, so that not every node loses requests
- * there. The word of another node counts for a short time, and only for requests that may run only
- * once: a node that alone can't reach an engine takes no more than that from the rest.
+ * Notifies the peers in this node's region when an engine becomes suspect here, and applies the
+ * notices of other nodes, so that not every node has to lose requests at a failed engine.
+ *
+ * <p>A notice of another node has effect for a short time and only on requests that may run at most
+ * once. If only the sender cannot reach the engine, that is all the harm its notice can do. Notices
+ * are not forwarded.
  */
 public final class EngineSuspicionNotifier implements EngineSuspicionListener, PeerMessageListener {
   private static final long BYTES_PER_SECOND = 8_192;
@@ -25,7 +28,7 @@
   private final GatewayLog log;
   private final ByteBudget budget;
 
-  /** Creates a gossip that has to be told of suspicions and given datagrams. */
+  /** Creates a notifier; the caller registers it for engine suspicions and for peer messages. */
   public EngineSuspicionNotifier(
       EngineDirectory engines,
       PeerDirectory peers,
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/LimitTokenOutcome.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/LimitTokenOutcome.java
@@ -2,13 +2,13 @@
 
 import java.util.Optional;
 
-/** What a node says to another that asks it for tokens of a tenant's limit. */
+/** The outcome of a node's request to a peer for tokens of a tenant's rate limit. */
 public enum LimitTokenOutcome {
-  /** Here are some. */
+  /** The reply grants tokens. */
   GIVEN(1),
-  /** The tenant is beyond its limit. */
+  /** The tenant has exceeded its limit. */
   REFUSED(2),
-  /** The node does not hold the tenant's bucket. */
+  /** The peer does not hold the tenant's token bucket. */
   NOT_HELD(3);
 
   private final int code;
@@ -17,12 +17,12 @@
     this.code = code;
   }
 
-  /** The number used between nodes; never reused. */
+  /** Returns the code in messages between nodes; codes are never reused. */
   int code() {
     return code;
   }
 
-  /** The outcome with a number; nothing if none has it. */
+  /** Returns the outcome with the code, or empty if the code is unknown. */
   static Optional<LimitTokenOutcome> ofCode(int code) {
     for (LimitTokenOutcome outcome : values()) {
       if (outcome.code == code) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerAddress.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerAddress.java
@@ -3,10 +3,10 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * Where a node takes datagrams of other nodes.
+ * The address at which a node receives datagrams of other nodes.
  *
- * @param host its IP address
- * @param port its UDP port
+ * @param host the IP address
+ * @param port the UDP port
  */
 public record PeerAddress(String host, int port) {
   public PeerAddress {
@@ -14,15 +14,15 @@
   }
 
   /**
-   * Reads what {@link #toString} has written.
+   * Parses an address in the form of {@link #toString}.
    *
-   * @param text an address
-   * @throws IllegalArgumentException if it is none
+   * @param text the address
+   * @throws IllegalArgumentException if the text is not an address
    */
   public static PeerAddress parse(String text) {
     int colon = text.lastIndexOf(':');
     if (colon <= 0) {
-      throw new IllegalArgumentException("not an address: " + text);
+      throw new IllegalArgumentException("peer address is not host:port: " + text);
     }
     return new PeerAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
   }
@@ -32,7 +32,9 @@
     return host + ':' + port;
   }
 
-  /** Written out: the methods of a record are linked at run time, which costs each start. */
+  /**
+   * Explicit, because the generated methods of a record are linked at run time and slow startup.
+   */
   @Override
   public boolean equals(Object other) {
     return other instanceof PeerAddress address
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerDirectory.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerDirectory.java
@@ -23,24 +23,25 @@
 import org.baykeel.gateway.topology.Topology;
 
 /**
- * The nodes that datagrams go to. A node writes its address into the store when it starts, reads
- * the others' once, and announces itself to them; later starters announce themselves to it. Nothing
- * depends on the list being complete: what nodes tell each other only saves requests.
+ * The peers to which this node sends datagrams. On start a node writes its address to the store,
+ * reads the addresses of the other nodes once, and announces itself to them; nodes that start later
+ * announce themselves to it. Correctness does not depend on a complete list: messages between peers
+ * only save requests.
  *
- * <p>Each node also tells its zone, so that others can prefer the nodes of their own region. A node
- * whose zone is not known yet counts as one of another region where there are several.
+ * <p>Each node also publishes its zone, so that others can prefer the peers in their own region. If
+ * there are several regions, a peer whose zone is not known yet counts as one of another region.
  */
 public final class PeerDirectory {
   private static final String TABLE = "node";
   private static final int PAGE_ROWS = 500;
 
-  /** The start of serving goes first. */
+  /** Delay before the row is written, so that joining does not slow the start of serving. */
   private static final long JOIN_DELAY_MILLIS = 500;
 
   private static final long RETRY_MILLIS = 1_000;
   private static final int MAX_PEERS = 1_024;
 
-  /** Between a node's address and its zone in its row. */
+  /** Separates the address and the zone in a node's row. */
   private static final char ZONE_SEPARATOR = ' ';
 
   private static final String UNKNOWN_ZONE = "";
@@ -59,11 +60,11 @@
   private boolean loaded;
 
   /**
-   * Creates a directory that knows nobody yet.
+   * Creates an empty directory.
    *
-   * @param nodeName the name of this node, its key in the store
-   * @param ownAddress where this node takes datagrams
-   * @param topology where this node and the zones are
+   * @param nodeName the name of this node, which is the key of its row in the store
+   * @param ownAddress the address at which this node receives datagrams
+   * @param topology the regions of the zones, and the zone of this node
    */
   public PeerDirectory(
       String nodeName,
@@ -84,7 +85,9 @@
     this.log = log;
   }
 
-  /** Makes this node known and learns of the others, as soon as the store answers. */
+  /**
+   * Publishes this node and loads the peers from the store, with retries until the store responds.
+   */
   public void join() {
     eventLoop.schedule(JOIN_DELAY_MILLIS, this::writeOwnRow);
   }
@@ -144,9 +147,9 @@
   }
 
   /**
-   * Notes that a node has sent something.
+   * Adds the sender of a message, with an unknown zone if it is new.
    *
-   * @param peer its address
+   * @param peer the address of the sender
    */
   public void onSender(PeerAddress peer) {
     if (!zoneByPeer.containsKey(peer)) {
@@ -155,10 +158,10 @@
   }
 
   /**
-   * Notes that a node has said where it is.
+   * Adds the sender of an announcement, or updates its zone.
    *
-   * @param peer its address
-   * @param zone its zone; empty if it did not say
+   * @param peer the address of the sender
+   * @param zone the announced zone; empty if the announcement has none
    */
   public void onAnnouncement(PeerAddress peer, String zone) {
     add(peer, zone);
@@ -180,7 +183,10 @@
     }
   }
 
-  /** Where a node is; another region if it is not known and there are several. */
+  /**
+   * Returns the locality of a peer; if its zone is unknown and there are several regions, another
+   * region.
+   */
   public Locality localityOf(PeerAddress peer) {
     String zone = zoneByPeer.getOrDefault(peer, UNKNOWN_ZONE);
     if (zone.isEmpty()) {
@@ -189,12 +195,13 @@
     return topology.localityOf(zone);
   }
 
-  /** Takes this node's row out of the store; a later start writes it again. */
+  /** Removes this node's row from the store; the next start writes it again. */
   public void leave() {
     if (ownRowVersion == Transaction.ABSENT) {
       return;
     }
-    // The condition keeps a late copy from removing the row of the next start.
+    // The expected version keeps a delayed copy of this removal from deleting the row of the next
+    // start.
     Transaction removal =
         new Transaction(
             List.of(new Transaction.Expectation(ownRow, ownRowVersion)),
@@ -204,17 +211,17 @@
     store.transact(removal, outcome -> {});
   }
 
-  /** The nodes known now, this one not among them. */
+  /** Returns the known peers. */
   public Collection<PeerAddress> peers() {
     return Collections.unmodifiableSet(zoneByPeer.keySet());
   }
 
-  /** The nodes of this node's region that are known now, this one not among them. */
+  /** Returns the known peers in this node's region. */
   public Collection<PeerAddress> peersInRegion() {
     return Collections.unmodifiableSet(peersInRegion);
   }
 
-  /** The nodes known now; nothing until they have been read from the store once. */
+  /** Returns the known peers, or empty until they have been loaded from the store. */
   public Optional<Collection<PeerAddress>> peersIfLoaded() {
     return loaded ? Optional.of(peers()) : Optional.empty();
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerLatency.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerLatency.java
@@ -1,11 +1,11 @@
 package org.baykeel.gateway.peer;
 
-/** How far another node is. */
+/** Provides the network latency to peers. */
 @FunctionalInterface
 public interface PeerLatency {
-  /** All nodes are so near that the way takes no time worth counting. */
+  /** Every peer has a round trip of 0 ms. */
   PeerLatency ZERO = peer -> 0;
 
-  /** The time to a node and back in milliseconds, as measured or assumed. */
+  /** Returns the round trip to a peer in milliseconds, measured or assumed. */
   long roundTripMillis(PeerAddress peer);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessage.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessage.java
@@ -9,27 +9,27 @@
 import org.baykeel.gateway.tenancy.LimitUse;
 import org.baykeel.gateway.tenancy.TenantId;
 
-/** What nodes tell each other. */
+/** A message that one node sends to another in a datagram. */
 public sealed interface PeerMessage {
 
   /**
-   * The sender has started and wants to hear of others' findings.
+   * Announces that the sender has started, so that peers send it their notices.
    *
-   * @param zone where it is; empty if it did not say
+   * @param zone the zone of the sender; empty if the sender's version does not send one
    */
   record NodeAnnouncement(String zone) implements PeerMessage {}
 
   /**
-   * Requests of the sender have just failed in a row at an engine.
+   * Reports that an engine has become suspect at the sender after several failed requests in a row.
    *
    * @param engineId the engine
    */
   record EngineSuspicion(EngineId engineId) implements PeerMessage {}
 
   /**
-   * What engines told the sender of their load.
+   * Passes on load reports that engines returned to the sender.
    *
-   * @param engines one entry each
+   * @param engines one entry per engine
    */
   record EngineLoadNotice(List<ReportedLoad> engines) implements PeerMessage {
     public EngineLoadNotice {
@@ -38,46 +38,46 @@
   }
 
   /**
-   * What one engine told of its load.
+   * The load report of one engine.
    *
    * @param engineId the engine
-   * @param ageMillis how old that was when the notice was sent
-   * @param startMillis when this life of the engine began, by the engine's clock; 0 if it did not
-   *     say
-   * @param load its load
+   * @param ageMillis the age of the report when the notice was sent, in milliseconds
+   * @param startMillis the start time of the engine's incarnation in milliseconds, by the engine's
+   *     clock; 0 if the engine does not report it
+   * @param load the reported load
    */
   record ReportedLoad(EngineId engineId, long ageMillis, long startMillis, EngineLoad load) {}
 
   /**
-   * The sender serves a program now.
+   * Announces that the sender now serves a program.
    *
    * @param program the program
    */
   record HolderAnnouncement(ProgramId program) implements PeerMessage {}
 
   /**
-   * The sender wants to know which node served a program last.
+   * Queries which node served a program last.
    *
-   * @param queryId chosen by the sender; the reply carries it
+   * @param queryId chosen by the sender; the reply repeats it
    * @param program the program
    */
   record HolderQuery(long queryId, ProgramId program) implements PeerMessage {}
 
   /**
-   * Which node served a program last.
+   * Replies to a {@link HolderQuery}.
    *
-   * @param queryId that of the query
-   * @param holder nothing if the sender knows none
+   * @param queryId the identifier of the query
+   * @param holder the node that served the program last, or empty if the sender knows of none
    */
   record HolderReply(long queryId, Optional<PeerAddress> holder) implements PeerMessage {}
 
   /**
-   * The sender has a request of a tenant and wants tokens of the tenant's limit.
+   * Requests tokens of a tenant's rate limit for a call of that tenant.
    *
-   * @param correlationId chosen by the sender; the reply carries it
-   * @param wanted how many tokens are wanted; one is enough
-   * @param firstTurn whether a program begins with the request, as far as the sender knows
-   * @param programHash a number of its program; 0 if it has none
+   * @param correlationId chosen by the sender; the reply repeats it
+   * @param wanted the most tokens that the sender can use; one is enough
+   * @param firstTurn whether the call starts a program, as far as the sender knows
+   * @param programHash a hash of the call's program; 0 if the call has none
    * @param tenant the tenant
    */
   record LimitTokenRequest(
@@ -85,16 +85,17 @@
       implements PeerMessage {}
 
   /**
-   * What became of a request for tokens.
+   * Replies to a {@link LimitTokenRequest}.
    *
-   * @param correlationId that of the request
-   * @param outcome whether tokens were given
-   * @param tokens how many
-   * @param firstTurnsAllowed whether programs may begin with them
-   * @param retryMillis when there will be some; if some were given, when they may be used
-   * @param remaining what the bucket still holds
-   * @param use what the tenant asked for lately
-   * @param proof what proves the sender's configuration, if it has any proof
+   * @param correlationId the identifier of the request
+   * @param outcome whether tokens were granted
+   * @param tokens the number of tokens granted
+   * @param firstTurnsAllowed whether the tokens may be used for first turns
+   * @param retryMillis the time in milliseconds until tokens are available or, if tokens were
+   *     granted, until they may be used
+   * @param remaining the tokens that remain in the bucket
+   * @param use the tenant's demand in relation to its limit, as measured by the sender
+   * @param proof the proof of the sender's configuration version, if it has one
    */
   record LimitTokenReply(
       long correlationId,
@@ -107,13 +108,13 @@
       Optional<ConfigurationProof> proof)
       implements PeerMessage {
 
-    /** The same reply with a proof of the sender's configuration as of now. */
+    /** Returns a copy with a current proof of the sender's configuration version. */
     public LimitTokenReply withProof(Optional<ConfigurationProof> own) {
       return new LimitTokenReply(
           correlationId, outcome, tokens, firstTurnsAllowed, retryMillis, remaining, use, own);
     }
 
-    /** The reply of a node that does not hold the tenant's bucket. */
+    /** Returns the reply of a node that does not hold the tenant's token bucket. */
     public static LimitTokenReply notHeld(long questionId) {
       return new LimitTokenReply(
           questionId,
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessageCodec.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessageCodec.java
@@ -27,19 +27,19 @@
 import org.baykeel.protocol.generated.NodeAnnouncementEncoder;
 
 /**
- * Messages between nodes as SBE. Buffers and encoders are made for each message: messages are few,
- * and the classes under them are then loaded with the first one and not with the node's start.
+ * Encodes and decodes messages between nodes as SBE. Buffers and encoders are created per message:
+ * messages are few, and their classes are thus loaded with the first message instead of at startup.
  */
 public final class PeerMessageCodec {
-  /** Well below what one frame of a link carries. */
+  /** Well below the payload of one link-layer frame, so that a datagram is not fragmented. */
   static final int MAX_MESSAGE_BYTES = 1_024;
 
   private static final long MAX_RETRY_MILLIS = 3_600_000;
 
   /**
-   * The bytes of a message.
+   * Encodes a message.
    *
-   * @param message a message
+   * @param message the message
    */
   public byte[] encode(PeerMessage message) {
     UnsafeBuffer buffer = new UnsafeBuffer(new byte[MAX_MESSAGE_BYTES]);
@@ -110,10 +110,10 @@
   }
 
   /**
-   * Reads a message.
+   * Decodes a message.
    *
-   * @param datagram bytes that may be anything
-   * @return the message; nothing if the bytes are none, or one of a later version
+   * @param datagram the received bytes, which are not trusted
+   * @return the message, or empty if the bytes are malformed or a message of a later version
    */
   public Optional<PeerMessage> decode(byte[] datagram) {
     if (datagram.length < MessageHeaderDecoder.ENCODED_LENGTH) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessageDispatcher.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessageDispatcher.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Reads datagrams of other nodes and hands their messages on; anything else is left out. */
+/** Decodes datagrams of peers and passes the messages to listeners; drops all other datagrams. */
 public final class PeerMessageDispatcher implements PeerTransport.Receiver {
   private final PeerMessageCodec codec;
   private final PeerDirectory peers;
@@ -11,8 +11,8 @@
   /**
    * Creates a dispatcher.
    *
-   * @param peers hears of every sender
-   * @param listeners hear every message
+   * @param peers is updated with the sender of each message
+   * @param listeners receive every message
    */
   public PeerMessageDispatcher(
       PeerMessageCodec codec, PeerDirectory peers, List<PeerMessageListener> listeners) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessageListener.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessageListener.java
@@ -1,13 +1,13 @@
 package org.baykeel.gateway.peer;
 
-/** Hears what other nodes tell this one. */
+/** Receives messages of peers. */
 @FunctionalInterface
 public interface PeerMessageListener {
   /**
-   * Takes a message.
+   * Handles a message.
    *
-   * @param sender where it came from
-   * @param message what it says
+   * @param sender the address of the sender
+   * @param message the message
    */
   void onMessage(PeerAddress sender, PeerMessage message);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerTransport.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerTransport.java
@@ -1,14 +1,14 @@
 package org.baykeel.gateway.peer;
 
-/** Sends datagrams to other nodes; they may be lost, doubled or late. */
+/** Sends datagrams to peers; they may be lost, duplicated or delayed. */
 @FunctionalInterface
 public interface PeerTransport {
 
   /**
-   * Sends a datagram, without any promise.
+   * Sends a datagram without a guarantee of delivery.
    *
-   * @param receiver where it goes
-   * @param datagram its bytes
+   * @param receiver the address of the receiver
+   * @param datagram the bytes
    */
   void send(PeerAddress receiver, byte[] datagram);
 
@@ -16,10 +16,10 @@
   @FunctionalInterface
   interface Receiver {
     /**
-     * Takes a datagram.
+     * Handles a datagram.
      *
-     * @param sender where it came from
-     * @param datagram its bytes
+     * @param sender the address of the sender
+     * @param datagram the bytes
      */
     void receive(PeerAddress sender, byte[] datagram);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/RendezvousOrder.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/RendezvousOrder.java
@@ -5,8 +5,8 @@
 import org.baykeel.gateway.scheduling.StableHash;
 
 /**
- * The order in which nodes come in turn for a key, by rendezvous hashing. It is the same at all
- * nodes that know the same others; nodes that know different ones may claim the same place.
+ * Ranks the nodes for a key by rendezvous hashing. All nodes that know the same peers compute the
+ * same ranks; nodes that know different peers may compute the same rank for themselves.
  */
 public final class RendezvousOrder {
   private final PeerAddress self;
@@ -15,15 +15,15 @@
   /**
    * Creates an order.
    *
-   * @param self this node
-   * @param peers the other nodes known now
+   * @param self the address of this node
+   * @param peers supplies the known peers
    */
   public RendezvousOrder(PeerAddress self, Supplier<Collection<PeerAddress>> peers) {
     this.self = self;
     this.peers = peers;
   }
 
-  /** How many of the nodes known now come before this one. */
+  /** Returns the number of known peers that rank before this node. */
   public int rankOfSelf(String key) {
     int ownWeight = weight(self, key);
     int rank = 0;
@@ -35,7 +35,7 @@
     return rank;
   }
 
-  /** Whether a node, known or not, comes before this one. */
+  /** Returns whether a peer, known or not, ranks before this node. */
   public boolean outranksSelf(PeerAddress peer, String key) {
     return weight(peer, key) > weight(self, key);
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestEngineSuspicionNotifier.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestEngineSuspicionNotifier.java
@@ -32,7 +32,7 @@
   private final TestingStore store = new TestingStore(eventLoop);
   private final TestingPeerNetwork network = new TestingPeerNetwork(eventLoop);
 
-  /** One node's view of the engines and of the other nodes. */
+  /** A node with its own engine directory and peer directory. */
   private final class Node {
     private final PeerAddress address;
     private final EngineDirectory engines = new EngineDirectory(1);
@@ -69,7 +69,7 @@
       engine().failed(eventLoop.nanoTime());
     }
 
-    EngineHealth standing() {
+    EngineHealth health() {
       return engine().health(eventLoop.nanoTime());
     }
   }
@@ -80,7 +80,7 @@
     return node;
   }
 
-  @ParameterizedTest(name = "{0} ms after another node saw the failure: {1}")
+  @ParameterizedTest(name = "{0} ms after another node suspected the engine: {1}")
   @CsvSource({"1, HEALTHY", "3, SUSPECT", "1400, SUSPECT", "1600, HEALTHY"})
   void peersSuspectAnEngineAfterANoticeForALimitedTime(long millis, EngineHealth expected) {
     Node first = started("first", 1);
@@ -88,7 +88,7 @@
     eventLoop.advance(2_000);
     first.failTwice();
     eventLoop.advance(millis);
-    assertEquals(expected, second.standing());
+    assertEquals(expected, second.health());
   }
 
   @Test
@@ -100,7 +100,7 @@
     first.engine().succeeded();
     first.engine().failed(eventLoop.nanoTime());
     eventLoop.advance(10);
-    assertEquals(EngineHealth.HEALTHY, second.standing());
+    assertEquals(EngineHealth.HEALTHY, second.health());
   }
 
   @ParameterizedTest(name = "reported {0} times, {1} ms after the last report: {2}")
@@ -123,7 +123,7 @@
       sender.send(second.address, report);
     }
     eventLoop.advance(millis);
-    assertEquals(expected, second.standing());
+    assertEquals(expected, second.health());
   }
 
   @Test
@@ -134,7 +134,7 @@
     eventLoop.advance(2_000);
     first.failTwice();
     eventLoop.advance(10);
-    assertEquals(EngineHealth.SUSPECT, later.standing());
+    assertEquals(EngineHealth.SUSPECT, later.health());
   }
 
   @Test
@@ -147,9 +147,9 @@
     first.failTwice();
     long oneNotice = network.sentBytes() - before;
     eventLoop.advance(100);
-    assertEquals(before + oneNotice, network.sentBytes(), "nobody passes it on");
+    assertEquals(before + oneNotice, network.sentBytes(), "notices must not be forwarded");
     assertEquals(0, EngineHealth.SUSPECT.penaltyMillis(true, 100));
-    assertEquals(second.standing(), third.standing());
+    assertEquals(second.health(), third.health());
   }
 
   @Test
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestNodeRow.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestNodeRow.java
@@ -18,7 +18,7 @@
 import org.baykeel.gateway.topology.Topology;
 import org.junit.jupiter.api.Test;
 
-/** The rows in which nodes tell their addresses. */
+/** Checks the stored rows in which nodes publish their addresses and zones. */
 class TestNodeRow {
   private static final byte[] RECORDED = new RecordedBytes("rows.hex").named("node");
   private static final PeerAddress NODE = new PeerAddress("10.1.0.38", 7380);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestPeerMessageCompatibility.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestPeerMessageCompatibility.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Datagrams between nodes of this build and of the one in production. */
+/**
+ * Checks the compatibility of datagrams with nodes of the version in production: datagrams recorded
+ * from it are decoded, and encoded datagrams can be read by it.
+ */
 class TestPeerMessageCompatibility {
   private static final RecordedBytes RECORDED = new RecordedBytes("peer.hex");
   private static final ProgramId PROGRAM = new ProgramId("t/3fa81c");
