--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/topology/Locality.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/topology/Locality.java
@@ -1,14 +1,14 @@
 package org.baykeel.gateway.topology;
 
-/** How a place relates to this node's own. */
+/** The location of a zone relative to this node. */
 public enum Locality {
-  /** The same zone. */
+  /** The zone of this node. */
   SAME_ZONE(1.0),
 
-  /** Another zone of the same region. */
+  /** Another zone of this node's region. */
   SAME_REGION(4.0),
 
-  /** Another region. */
+  /** A zone of another region. */
   OTHER_REGION(40.0);
 
   private final double assumedRoundTripMillis;
@@ -18,14 +18,15 @@
   }
 
   /**
-   * The time there and back until it has been measured, in milliseconds: of the order of a data
-   * centre, of several in one town, and of several hundred kilometres of fibre.
+   * Returns the round trip in milliseconds that is assumed until one has been measured: the order
+   * of magnitude within one data centre, between data centres of one town, and over several hundred
+   * kilometres of fibre.
    */
   public double assumedRoundTripMillis() {
     return assumedRoundTripMillis;
   }
 
-  /** Whether a place is in this node's own region. */
+  /** Returns whether the location is in this node's region. */
   public boolean inRegion() {
     return this != OTHER_REGION;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/topology/RegionId.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/topology/RegionId.java
@@ -3,9 +3,10 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * The name of a region: zones close enough to each other that a request may cross them.
+ * The name of a region: a group of zones so close to each other that requests may cross between
+ * them.
  *
- * @param value the operator's name
+ * @param value the name as configured by the operator
  */
 public record RegionId(String value) {
   public RegionId {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/topology/RoundTrips.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/topology/RoundTrips.java
@@ -5,19 +5,19 @@
 import java.util.Map;
 
 /**
- * The time to each zone and back, learnt from connections that are set up anyway. Used only from
- * the event loop.
+ * Estimates the round trip to each zone from the time that connections take to set up. Used only
+ * from the event loop.
  *
- * <p>The fastest of recent observations counts, since whatever else an observation holds, such as a
- * queue or a busy machine, only adds to the way.
+ * <p>An estimate follows the fastest observations, because queues and busy machines only ever add
+ * to the network latency.
  */
 public final class RoundTrips {
-  /** An estimate falls this fast to an observation below it, and rises a twentieth as fast. */
+  /** Weight of an observation below the estimate; one above it has a twentieth of the weight. */
   private static final double FALL_WEIGHT = 0.5;
 
   private static final double RISE_WEIGHT = 0.025;
 
-  /** One observation counts at most as this multiple of the estimate: an outlier is no distance. */
+  /** Observations are capped at this multiple of the estimate, since outliers are not latency. */
   private static final double MAX_OBSERVATION_FACTOR = 4;
 
   private final Topology topology;
@@ -28,16 +28,16 @@
     private long observedNanos;
   }
 
-  /** Creates estimates that are assumptions until something is observed. */
+  /** Creates estimates that are the assumed round trips until an observation is made. */
   public RoundTrips(Topology topology) {
     this.topology = topology;
   }
 
   /**
-   * Notes one way there and back.
+   * Records a measured round trip.
    *
-   * @param zone where the other end is
-   * @param millis how long it took
+   * @param zone the zone of the other end
+   * @param millis the round trip in milliseconds
    */
   public void observe(String zone, double millis, long nowNanos) {
     Estimate estimate = byZone.get(zone);
@@ -53,13 +53,15 @@
     estimate.observedNanos = nowNanos;
   }
 
-  /** The time to a zone and back in milliseconds; an assumption if none was observed. */
+  /** Returns the round trip to a zone in milliseconds; the assumed one if none was observed. */
   public double millisTo(String zone) {
     Estimate estimate = byZone.get(zone);
     return estimate == null ? topology.localityOf(zone).assumedRoundTripMillis() : estimate.millis;
   }
 
-  /** The longest time there and back by relation, in milliseconds, for metrics and bounds. */
+  /**
+   * Returns the longest round trip to a zone of the locality in ms, for metrics and time limits.
+   */
   public double millisTo(Locality locality) {
     double longest = -1;
     for (Map.Entry<String, Estimate> entry : byZone.entrySet()) {
@@ -70,7 +72,7 @@
     return longest < 0 ? locality.assumedRoundTripMillis() : longest;
   }
 
-  /** The age of the oldest estimate by relation, in milliseconds; nothing where none was made. */
+  /** Returns the age in milliseconds of the oldest estimate of each locality that has one. */
   public Map<Locality, Long> oldestAgesMillis(long nowNanos) {
     Map<Locality, Long> ages = new EnumMap<>(Locality.class);
     byZone.forEach(
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/topology/Topology.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/topology/Topology.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * Which zone lies in which region, as seen from this node. Without a map all zones lie in one
- * region, and a zone that the map lacks counts as one of this node's own region.
+ * The mapping of zones to regions, as seen from this node. Without a mapping all zones lie in one
+ * region; a zone that the mapping lacks counts as one of this node's region.
  */
 public final class Topology {
   private final String ownZone;
@@ -29,37 +29,37 @@
     regionByZone.keySet().forEach(zone -> localityByZone.put(zone, computeLocality(zone)));
   }
 
-  /** A topology of one region. */
+  /** Returns a topology in which all zones lie in one region. */
   public static Topology ofOneRegion(String ownZone) {
     return new Topology(ownZone, Map.of());
   }
 
-  /** The region of this node; its name is empty if the map lacks this node's zone. */
+  /** Returns the region of this node; its name is empty if the mapping lacks this node's zone. */
   public RegionId ownRegion() {
     return ownRegion;
   }
 
-  /** Whether the map names more than one region. */
+  /** Returns whether the mapping has more than one region. */
   public boolean severalRegions() {
     return severalRegions;
   }
 
-  /** The zone of this node. */
+  /** Returns the zone of this node. */
   public String ownZone() {
     return ownZone;
   }
 
-  /** The region of a zone that the map has; nothing for another zone. */
+  /** Returns the region of a zone, or empty if the mapping lacks the zone. */
   public Optional<RegionId> knownRegionOf(String zone) {
     return Optional.ofNullable(regionByZone.get(zone));
   }
 
-  /** The region of a zone. */
+  /** Returns the region of a zone; this node's region if the mapping lacks the zone. */
   public RegionId regionOf(String zone) {
     return regionByZone.getOrDefault(zone, ownRegion);
   }
 
-  /** How a zone relates to this node. */
+  /** Returns the locality of a zone. */
   public Locality localityOf(String zone) {
     Locality known = localityByZone.get(zone);
     return known != null ? known : computeLocality(zone);
