--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkChannel.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkChannel.java
@@ -9,11 +9,11 @@
 import io.netty.handler.codec.LengthFieldPrepender;
 import java.util.function.Consumer;
 
-/** Frames of a connection between nodes: four bytes of length, then one message. */
+/** The framing of a connection between nodes: a length of four bytes, then one message. */
 final class LinkChannel {
   private static final int LENGTH_BYTES = 4;
 
-  /** More than the largest answer of the store's service that this node accepts. */
+  /** Larger than the largest store response that this node accepts, so that any can be relayed. */
   private static final int MAX_FRAME_BYTES = 17 << 20;
 
   private LinkChannel() {}
@@ -21,8 +21,8 @@
   /**
    * Adds the handlers of a connection.
    *
-   * @param onMessage takes each message
-   * @param onClosed runs once the connection is gone
+   * @param onMessage receives each message
+   * @param onClosed runs when the connection is closed
    */
   static void prepare(
       ChannelPipeline pipeline, Consumer<LinkMessage> onMessage, Runnable onClosed) {
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Hands messages on and passes over those of a kind that is not known here; a connection with
-   * anything else on it is closed.
+   * Passes messages on and ignores those of an unknown kind, which a later version may send. Any
+   * other bytes close the connection.
    */
   private static final class MessageHandler extends SimpleChannelInboundHandler<ByteBuf> {
     private final Consumer<LinkMessage> onMessage;
@@ -58,7 +58,7 @@
       try {
         message = LinkCodec.decode(bytes);
       } catch (LinkCodec.UnknownMessageException e) {
-        // Whoever asked hears nothing and gives the question up.
+        // The sender gets no response, so its request times out.
         return;
       }
       onMessage.accept(message);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkClient.java
@@ -27,13 +27,13 @@
 import org.baykeel.gateway.telemetry.GatewayEvent;
 import org.baykeel.gateway.telemetry.GatewayLog;
 
-/** Asks other nodes, over one connection to each that was asked lately. */
+/** Sends requests to peers over one connection per peer, which is closed when idle. */
 public final class LinkClient implements RelayTransport, HandoverTransport {
   private static final int CONNECT_TIMEOUT_MILLIS = 200;
 
   /**
-   * A little work at a slow node; after it the store is asked. Two ways there and back, as
-   * measured, come on top: one to connect and one to ask.
+   * Time limit for the work of a slow peer; after it the state is read from the store. Two measured
+   * round trips are added: one to connect and one for the request.
    */
   private static final long HANDOVER_WORK_MILLIS = 50;
 
@@ -42,7 +42,7 @@
   private static final long IDLE_NANOS = 10_000_000_000L;
   private static final long SWEEP_MILLIS = 2_000;
 
-  /** How long a silent connection is left open; longer than any call made through another node. */
+  /** Delay before a silent connection is closed; longer than the longest relayed store call. */
   private static final long ABANDONED_CLOSE_DELAY_MILLIS = 4_000;
 
   private final EventLoopGroup group;
@@ -54,7 +54,7 @@
    * Creates a client without connections.
    *
    * @param group the event loop
-   * @param latency how far other nodes are
+   * @param latency the round trips to peers
    */
   public LinkClient(EventLoopGroup group, PeerLatency latency, GatewayLog log) {
     this.group = group;
@@ -106,11 +106,11 @@
   }
 
   /**
-   * What became of a request.
+   * The outcome of a request.
    *
-   * @param response the answer, or null if there was none
-   * @param sent whether the request may have reached the other node
-   * @param reason why there is no answer
+   * @param response the response, or null if there was none
+   * @param sent whether the request may have reached the peer
+   * @param reason why there is no response
    */
   private record Outcome(LinkMessage response, boolean sent, String reason) {
 
@@ -134,10 +134,10 @@
     }
   }
 
-  /** A request that waits for its answer. */
+  /** A request that has no response yet. */
   private record PendingRequest(Consumer<Outcome> onOutcome, Future<?> timeout) {}
 
-  /** The connection to one node, made when it is first needed. */
+  /** The connection to one peer, opened by the first request. */
   private final class PeerLink {
     private final PeerAddress peer;
     private final Map<Long, PendingRequest> pending = new HashMap<>();
@@ -190,7 +190,7 @@
       return connecting;
     }
 
-    /** Of two connections made at the same time the first one stays. */
+    /** Keeps the first of several connections that were opened concurrently. */
     private void adopt(ChannelFuture connected) {
       if (!connected.isSuccess()) {
         return;
@@ -213,12 +213,13 @@
       if (channel != null && silentMillis >= timeoutMillis) {
         abandon(silentMillis);
       }
-      complete(id, new Outcome(null, true, "time-out at " + peer));
+      complete(id, new Outcome(null, true, "no response within the time limit from " + peer));
     }
 
     /**
-     * Nothing was heard for the whole time of a request: the connection may have fallen silent for
-     * good, so the next request gets a new one. Others that wait may still be answered on it.
+     * Stops using the connection after nothing was received during the whole time limit of a
+     * request: it may be dead without having been closed, so the next request opens a new one.
+     * Pending requests may still complete on the old connection.
      */
     private void abandon(long silentMillis) {
       log.write(
@@ -256,7 +257,7 @@
       }
     }
 
-    /** Closes the connection if it rests; returns whether it is gone. */
+    /** Closes the connection if it is idle; returns whether the link can be removed. */
     boolean closeIfIdle() {
       if (!pending.isEmpty() || System.nanoTime() - lastRequestNanos < IDLE_NANOS) {
         return false;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkCodec.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkCodec.java
@@ -29,21 +29,21 @@
 import org.baykeel.protocol.generated.TurnsRequestDecoder;
 import org.baykeel.protocol.generated.TurnsRequestEncoder;
 
-/** Messages between nodes on a connection, as SBE. */
+/** Encodes and decodes messages on a connection between nodes as SBE. */
 final class LinkCodec {
   private static final int MAX_TARGET_CHARACTERS = 4_096;
   private static final long MAX_TIMEOUT_MILLIS = 30_000;
   private static final int INITIAL_BUFFER_BYTES = 1_024;
   private static final byte[] NO_BODY = new byte[0];
 
-  /** How a call to the store ended, as it is sent. */
+  /** The outcome of a store call; the ordinal is sent, so the order must not change. */
   private enum Outcome {
     ANSWERED,
     NOT_SENT,
     LOST
   }
 
-  /** Bytes that are not a message. */
+  /** Thrown when bytes are not a valid message. */
   static class MalformedMessageException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -52,12 +52,12 @@
     }
   }
 
-  /** A message of a kind that a later build has added. */
+  /** Thrown when a message is of an unknown kind, which a later version may have added. */
   static final class UnknownMessageException extends MalformedMessageException {
     private static final long serialVersionUID = 1L;
 
     UnknownMessageException(int templateId) {
-      super("template " + templateId);
+      super("unknown template id " + templateId);
     }
   }
 
@@ -168,19 +168,20 @@
   }
 
   /**
-   * Reads a message.
+   * Decodes a message.
    *
-   * @throws UnknownMessageException if they are one of a kind that is not known here
-   * @throws MalformedMessageException if the bytes are none
+   * @throws UnknownMessageException if the message is of an unknown kind
+   * @throws MalformedMessageException if the bytes are not a valid message
    */
   static LinkMessage decode(byte[] bytes) {
     if (bytes.length < MessageHeaderDecoder.ENCODED_LENGTH) {
-      throw new MalformedMessageException(bytes.length + " bytes");
+      throw new MalformedMessageException(
+          bytes.length + " bytes are too short for a message header");
     }
     DirectBuffer buffer = new UnsafeBuffer(bytes);
     MessageHeaderDecoder header = new MessageHeaderDecoder().wrap(buffer, 0);
     if (header.schemaId() != MessageHeaderDecoder.SCHEMA_ID) {
-      throw new MalformedMessageException("schema " + header.schemaId());
+      throw new MalformedMessageException("unknown schema id " + header.schemaId());
     }
     try {
       return decodeBody(buffer, header);
@@ -218,7 +219,8 @@
     StoreCall.Method method = StoreCall.Method.valueOf(decoder.method());
     String target = decoder.target();
     if (target.length() > MAX_TARGET_CHARACTERS || !target.startsWith("/")) {
-      throw new MalformedMessageException("target of " + target.length() + " characters");
+      throw new MalformedMessageException(
+          "store target is relative or too long: " + target.length() + " characters");
     }
     byte[] body = new byte[checkedLength(decoder.bodyLength(), buffer)];
     decoder.getBody(body, 0, body.length);
@@ -232,7 +234,7 @@
         new StoreRelayReplyDecoder().wrapAndApplyHeader(buffer, 0, header);
     int outcome = decoder.outcome();
     if (outcome >= Outcome.values().length) {
-      throw new MalformedMessageException("outcome " + outcome);
+      throw new MalformedMessageException("unknown store outcome " + outcome);
     }
     int status = decoder.status();
     byte[] content = new byte[checkedLength(decoder.contentLength(), buffer)];
@@ -255,7 +257,8 @@
         new GrantTransfer(
             decoder.tokens(), decoder.grantedTokens(), decoder.grantId(), decoder.rowVersion());
     if (transfer.tokens() < 0 || transfer.tokens() > transfer.grantedTokens()) {
-      throw new MalformedMessageException("tokens " + transfer.tokens());
+      throw new MalformedMessageException(
+          "grant transfer with an invalid number of tokens: " + transfer.tokens());
     }
     return new LinkMessage.GrantResponse(decoder.correlationId(), Optional.of(transfer));
   }
@@ -273,10 +276,12 @@
     return new LinkMessage.TurnsResponse(correlationId, turns);
   }
 
-  /** A length as it was sent says nothing until it fits what was received. */
+  /**
+   * Returns the length if it is not larger than the received bytes; a sent length is not trusted.
+   */
   private static int checkedLength(int length, DirectBuffer buffer) {
     if (length < 0 || length > buffer.capacity()) {
-      throw new MalformedMessageException("length " + length);
+      throw new MalformedMessageException("invalid field length " + length);
     }
     return length;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkMessage.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkMessage.java
@@ -8,52 +8,56 @@
 import org.baykeel.gateway.remote.StoreCall;
 import org.baykeel.gateway.remote.StoreReply;
 
-/** What nodes send each other on a connection: requests, and an answer to each. */
+/** A message on a connection between nodes: a request, or the response to one. */
 public sealed interface LinkMessage {
 
-  /** Chosen by the sender of the request, unique on its connection; the answer carries it too. */
+  /**
+   * Returns the identifier chosen by the sender of the request, unique on its connection; the
+   * response repeats it.
+   */
   long correlationId();
 
   /**
-   * A call to the store that the receiver is to make.
+   * Requests that the receiver makes a store call.
    *
    * @param call the call
    */
   record StoreRequest(long correlationId, StoreCall call) implements LinkMessage {}
 
   /**
-   * What became of a call to the store.
+   * Returns the outcome of a store call.
    *
    * @param reply the outcome
    */
   record StoreResponse(long correlationId, StoreReply reply) implements LinkMessage {}
 
   /**
-   * The sender takes over a program and wants the tokens that the receiver has left of its grant.
+   * Requests the tokens that remain of the receiver's grant of a program, which the sender takes
+   * over.
    *
    * @param program the program
    */
   record GrantRequest(long correlationId, ProgramId program) implements LinkMessage {}
 
   /**
-   * The tokens that are the other's from now on.
+   * Transfers the remaining tokens of a grant to the receiver; the sender no longer spends them.
    *
-   * @param transfer nothing if the program is unknown here
+   * @param transfer the tokens, or empty if the program is unknown to the sender
    */
   record GrantResponse(long correlationId, Optional<GrantTransfer> transfer)
       implements LinkMessage {}
 
   /**
-   * The sender needs a turn and all it continues.
+   * Requests a turn and all turns that it continues.
    *
    * @param turnId the turn
    */
   record TurnsRequest(long correlationId, String turnId) implements LinkMessage {}
 
   /**
-   * What is in memory of a turn and all it continues; each of them is in the store.
+   * Returns those of the requested turns that are in memory; each of them is also in the store.
    *
-   * @param turns in any order
+   * @param turns the turns, in any order
    */
   record TurnsResponse(long correlationId, List<StoredTurn> turns) implements LinkMessage {
     public TurnsResponse {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkServer.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkServer.java
@@ -10,9 +10,9 @@
 import java.net.InetSocketAddress;
 import org.baykeel.gateway.remote.StoreReply;
 
-/** Answers other nodes. */
+/** Serves the requests of other nodes. */
 public final class LinkServer {
-  /** Calls to the store under way for one other node; more are turned down. */
+  /** Most concurrent store calls for one connection; further ones are refused. */
   private static final int MAX_STORE_CALLS_PER_CONNECTION = 256;
 
   private final LinkServices services;
@@ -20,14 +20,14 @@
   /**
    * Creates a server.
    *
-   * @param services what this node does for others
+   * @param services performs the requests
    */
   public LinkServer(LinkServices services) {
     this.services = services;
   }
 
   /**
-   * Begins to listen; may be called on the event loop.
+   * Starts to listen; may be called on the event loop.
    *
    * @return completes when the address is bound, or fails if it cannot be
    */
@@ -48,7 +48,7 @@
         .bind(address);
   }
 
-  /** The node at the other end of one connection. */
+  /** The connection of one other node. */
   private final class PeerConnection {
     private final SocketChannel channel;
     private int storeCalls;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkServices.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkServices.java
@@ -9,19 +9,22 @@
 import org.baykeel.gateway.remote.StoreCall;
 import org.baykeel.gateway.remote.StoreReply;
 
-/** What a node does for other nodes; called on the event loop. */
+/** The services that a node provides to other nodes; called on the event loop. */
 public interface LinkServices {
 
   /**
-   * Makes a call to the store by this node's own way.
+   * Makes a store call over this node's direct store path.
    *
-   * @param callback takes the outcome, exactly once
+   * @param callback receives the outcome, exactly once
    */
   void callStore(StoreCall call, Consumer<StoreReply> callback);
 
-  /** Gives up what this node has left of a program's grant. */
+  /**
+   * Releases the remaining tokens of this node's grant of a program; empty if there is nothing to
+   * release.
+   */
   Optional<GrantTransfer> releaseGrant(ProgramId program);
 
-  /** What this node has in memory of a turn and all it continues. */
+  /** Returns those of a turn and the turns that it continues that are in this node's memory. */
   List<StoredTurn> turnsInMemory(String turnId);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LocalLinkServices.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LocalLinkServices.java
@@ -12,13 +12,13 @@
 import org.baykeel.gateway.remote.StoreCall;
 import org.baykeel.gateway.remote.StoreReply;
 
-/** What this process does for others, from its own state. */
+/** Provides the services of this node from its own state. */
 public final class LocalLinkServices implements LinkServices {
   private final FailoverStoreClient store;
   private final ProgramBudgets budgets;
   private final TurnHistory history;
 
-  /** Creates services on this process's state. */
+  /** Creates services on the state of this node. */
   public LocalLinkServices(FailoverStoreClient store, ProgramBudgets budgets, TurnHistory history) {
     this.store = store;
     this.budgets = budgets;
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLink.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLink.java
@@ -45,7 +45,7 @@
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
   }
 
-  /** What a node does for others: it calls the store, and has one program and one turn. */
+  /** Services of a node that calls a given store and has one program and one turn in memory. */
   private static LinkServices services(StoreClient store) {
     return new LinkServices() {
       @Override
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLinkCodec.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLinkCodec.java
@@ -74,7 +74,7 @@
       try {
         LinkCodec.decode(bytes);
       } catch (LinkCodec.MalformedMessageException e) {
-        // What damaged bytes are expected to do.
+        // Expected for corrupted bytes.
       }
     }
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLinkCompatibility.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/link/TestLinkCompatibility.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Connections between nodes of this build and of the one in production. */
+/**
+ * Checks the compatibility of connections with nodes of the version in production: messages
+ * recorded from it are decoded, and encoded messages can be read by it.
+ */
 class TestLinkCompatibility {
   private static final RecordedBytes RECORDED = new RecordedBytes("link.hex");
 
@@ -41,7 +44,7 @@
     assertEquals(KINDS.keySet(), RECORDED.all().keySet());
   }
 
-  /** Encoded again it has all that it had, so all of it was decoded. */
+  /** A decoded message that encodes to the recorded bytes again was decoded completely. */
   @ParameterizedTest
   @MethodSource("names")
   void decodesRecordedMessagesAndEncodesThemAlike(String name) {
