--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/buffering/CallerFlow.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/buffering/CallerFlow.java
@@ -1,9 +1,11 @@
 package org.baykeel.gateway.buffering;
 
 /**
- * What is held for one caller: bytes that were written to its connection and that it has not read,
- * and events that wait for their grant. One for each connection, which carries one call at a time;
- * what is left of an answer stays counted after its call.
+ * Counts the bytes held for one caller and pauses the source of its response.
+ *
+ * <p>Held bytes are those written to the caller's connection that it has not read, and events that
+ * wait for their token grant. There is one instance per connection, which carries one call at a
+ * time; the unread rest of a response stays counted after the end of its call.
  */
 public final class CallerFlow {
   private final HeldBytesLimiter limiter;
@@ -14,15 +16,15 @@
   private boolean paused;
   private boolean closed;
 
-  /** Ends the connection of a caller that is given up. */
+  /** Closes the connection of a caller that reads too slowly. */
   @FunctionalInterface
   public interface SlowCallerListener {
     /**
-     * The caller is given up; nothing of it is counted any more.
+     * Called when the caller is abandoned; its bytes are no longer counted.
      *
-     * @param held bytes that were held for it
+     * @param held bytes that were held for the caller
      * @param nodeHeld bytes that the node held for all callers
-     * @param unreadMillis for how long it has read nothing
+     * @param unreadMillis milliseconds for which the caller has read nothing
      */
     void onSlowCaller(long held, long nodeHeld, long unreadMillis);
   }
@@ -32,7 +34,7 @@
     this.listener = listener;
   }
 
-  /** Sets where the caller's answer comes from now; {@link ResponseSource#NONE} if from nowhere. */
+  /** Sets the source of the caller's response; {@link ResponseSource#NONE} if it has none. */
   public void setSource(ResponseSource newSource) {
     source = newSource;
     if (paused) {
@@ -40,7 +42,7 @@
     }
   }
 
-  /** More is held. */
+  /** Counts bytes that are now held for the caller. */
   public void hold(long bytes) {
     if (closed || bytes == 0) {
       return;
@@ -52,7 +54,7 @@
     limiter.onHeld(this, bytes);
   }
 
-  /** The caller has read some of what was held. */
+  /** Releases bytes that the caller has read. */
   public void delivered(long bytes) {
     if (!closed) {
       unreadSinceNanos = limiter.nanoTime();
@@ -60,7 +62,7 @@
     }
   }
 
-  /** Some of what was held is not held here any more, though the caller need not have read it. */
+  /** Releases bytes that are no longer held here, whether or not the caller has read them. */
   public void release(long bytes) {
     if (!closed && bytes > 0) {
       held -= bytes;
@@ -68,7 +70,7 @@
     }
   }
 
-  /** The caller is gone: nothing is held for it. */
+  /** Releases all bytes; the caller has disconnected. */
   public void close() {
     release(held);
     source = ResponseSource.NONE;
@@ -95,17 +97,17 @@
     }
   }
 
-  /** Bytes held. */
+  /** Returns the bytes held for the caller. */
   public long held() {
     return held;
   }
 
-  /** Since when the caller has read nothing of what is held for it. */
+  /** Returns the time since which the caller has read none of the held bytes. */
   long unreadSinceNanos() {
     return unreadSinceNanos;
   }
 
-  /** Whether its answer is not to be read on. */
+  /** Returns whether the source of the response has to be paused. */
   public boolean paused() {
     return paused;
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/buffering/HeldBytesLimiter.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/buffering/HeldBytesLimiter.java
@@ -8,15 +8,17 @@
 import org.baykeel.gateway.runtime.EventLoop;
 
 /**
- * What this node holds for callers that read more slowly than engines answer, and which answers are
- * read no further because of it.
+ * Limits the bytes that this node holds for callers that read more slowly than engines respond, by
+ * pausing the sources of responses.
  *
- * <p>A call that holds its bound is paused until its caller has read half of it. While the node
- * holds its bound, each call that would add to it has the one paused that holds most, of equals the
- * one whose caller has read nothing for longest; such a call goes on once its caller has read all
- * that is held for it, or once the node holds half of its bound. What is held already stays
- * deliverable; only a caller that has read nothing for long, and holds its bound while the node
- * does, is given up.
+ * <p>A call whose held bytes reach the limit per call is paused until its caller has read half of
+ * that. While the bytes of all calls are at the limit of the node, each addition pauses one more
+ * call: the one with the most held bytes or, among equals, the one whose caller has read nothing
+ * for longest. From then on a paused call continues only once its caller has read all that is held
+ * for it, until the node holds half of its limit; then the limit per call applies alone again.
+ *
+ * <p>Held bytes stay deliverable. A caller is abandoned only if it has read nothing for the time
+ * limit, its call is at the limit per call, and the node is at its limit.
  */
 public final class HeldBytesLimiter {
   private static final Comparator<CallerFlow> MOST_HELD_FIRST =
@@ -31,43 +33,46 @@
   private boolean nodeAtLimit;
 
   /**
-   * How much may be held.
+   * The limits.
    *
-   * @param callBytes for one call, in bytes
-   * @param nodeBytes for all calls together, in bytes
-   * @param unreadMillis for how long a caller may read nothing before it may be given up
+   * @param callBytes the limit for one call, in bytes
+   * @param nodeBytes the limit for all calls together, in bytes
+   * @param unreadMillis the time without a read, in milliseconds, after which a caller may be
+   *     abandoned
    */
   public record Bounds(long callBytes, long nodeBytes, long unreadMillis) {
     private static final long DEFAULT_CALL_BYTES = 256 << 10;
     private static final long DEFAULT_NODE_BYTES = 8 << 20;
 
-    /** Longer than callers wait for an answer. */
+    /** Longer than callers wait for a response. */
     private static final long DEFAULT_UNREAD_MILLIS = 10_000;
 
-    /** For nodes of which nothing else is said. */
+    /** The limits of a node without other settings. */
     public static final Bounds DEFAULT =
         new Bounds(DEFAULT_CALL_BYTES, DEFAULT_NODE_BYTES, DEFAULT_UNREAD_MILLIS);
 
-    /** Checks the bounds. */
+    /** Checks the limits. */
     public Bounds {
       if (callBytes <= 0 || nodeBytes < callBytes || unreadMillis <= 0) {
-        throw new IllegalArgumentException("a call's bound must be positive and within the node's");
+        throw new IllegalArgumentException(
+            "the limit per call must be positive and at most the limit of the node,"
+                + " and the time limit must be positive");
       }
     }
 
-    /** What is held for a call when it goes on. */
+    /** Returns the held bytes at which a paused call continues. */
     long callResumeBytes() {
       return callBytes / 2;
     }
 
-    /** What the node holds when its bound no longer counts as met. */
+    /** Returns the held bytes at which the node is no longer at its limit. */
     long nodeResumeBytes() {
       return nodeBytes / 2;
     }
   }
 
   /**
-   * Creates a count of nothing.
+   * Creates a limiter that holds nothing.
    *
    * @param eventLoop the clock
    */
@@ -76,17 +81,17 @@
     this.eventLoop = eventLoop;
   }
 
-  /** Begins to count for a caller. */
+  /** Creates the flow of a new caller. */
   public CallerFlow open(CallerFlow.SlowCallerListener listener) {
     return new CallerFlow(this, listener);
   }
 
-  /** Bytes held for all callers. */
+  /** Returns the bytes held for all callers. */
   public long totalBytes() {
     return totalBytes;
   }
 
-  /** Calls whose engines are not read at the moment. */
+  /** Returns the number of calls whose sources are paused. */
   public long pausedCalls() {
     return holding.stream().filter(CallerFlow::pausesSource).count();
   }
@@ -132,7 +137,7 @@
     }
   }
 
-  /** Gives up callers that read nothing, as long as the node holds its bound. */
+  /** Abandons callers that read nothing, as long as the node is at its limit. */
   public void sweep() {
     if (totalBytes < bounds.nodeBytes()) {
       return;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/buffering/ResponseSource.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/buffering/ResponseSource.java
@@ -1,8 +1,8 @@
 package org.baykeel.gateway.buffering;
 
-/** Where the bytes of an answer come from; brings no more while it is paused. */
+/** The source of the bytes of a response; it delivers no more bytes while it is paused. */
 public interface ResponseSource {
-  /** Brings nothing. */
+  /** A source that delivers nothing. */
   ResponseSource NONE =
       new ResponseSource() {
         @Override
@@ -12,9 +12,9 @@
         public void resume() {}
       };
 
-  /** Reads no more. What has been read already may still come. */
+  /** Stops reading. Bytes that were read before may still be delivered. */
   void pause();
 
-  /** Reads on. */
+  /** Continues to read. */
   void resume();
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/buffering/TestHeldBytesLimiter.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/buffering/TestHeldBytesLimiter.java
@@ -23,7 +23,7 @@
       new HeldBytesLimiter(new HeldBytesLimiter.Bounds(CALL, NODE, UNREAD_MILLIS), eventLoop);
   private final List<String> abandoned = new ArrayList<>();
 
-  /** A call whose engine brings bytes while it is read. */
+  /** A call whose source delivers bytes unless it is paused. */
   private final class Call implements ResponseSource {
     private final CallerFlow flow;
     private boolean read = true;
@@ -50,7 +50,7 @@
     return call;
   }
 
-  @ParameterizedTest(name = "{0} bytes are held, {1} of them are read: read on {2}")
+  @ParameterizedTest(name = "{0} bytes held, {1} of them delivered: source is read {2}")
   @CsvSource({"99, 0, true", "100, 0, false", "100, 49, false", "100, 50, true", "180, 130, true"})
   void pausesACallAtItsLimitUntilHalfOfItIsRead(long bytes, long taken, boolean read) {
     Call call = holding("a", bytes);
@@ -131,7 +131,7 @@
     assertEquals(List.of(), abandoned);
     eventLoop.advance(1);
     held.sweep();
-    // 1,200 bytes are held: two that are given up make room.
+    // 1,200 bytes are held: abandoning two callers brings them below the limit.
     assertEquals(Math.min(2, 10 - readers), abandoned.size());
     assertEquals("c" + readers + " 120 10000", abandoned.get(0));
     eventLoop.advance(60_000);
@@ -166,7 +166,7 @@
         IllegalArgumentException.class, () -> new HeldBytesLimiter.Bounds(call, node, millis));
   }
 
-  /** Four times the node's bound is asked for by callers half of which read nothing. */
+  /** Callers, half of which read nothing, request four times the node limit. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
   void heldBytesStayWithinTheNodeLimitAndReadersAreServed(long seed) {
@@ -188,7 +188,7 @@
       calls.get(reader).flow.delivered(taken);
       eventLoop.advance(1);
       assertEquals(calls.stream().mapToLong(one -> one.flow.held()).sum(), held.totalBytes());
-      // At the bound each call may bring one more piece before it is paused.
+      // At the limit each call may add one more piece of up to 10 bytes before it is paused.
       assertTrue(held.totalBytes() <= NODE + 40 * 10, "held " + held.totalBytes());
     }
     for (int i = 0; i < 20; i++) {
