--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/CallTranslator.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/CallTranslator.java
@@ -9,23 +9,23 @@
 import org.baykeel.gateway.call.ResponseTraits;
 import org.baykeel.gateway.directory.Engine;
 
-/** Translates between header fields of a deployment and what they mean to the product. */
+/** Translates between the header fields of a deployment and the gateway's own types. */
 public interface CallTranslator {
 
   /**
-   * What a caller's header fields say.
+   * Reads the attributes of a call from the caller's header fields.
    *
    * @throws BaykeelException of kind INVALID_REQUEST if a field is malformed or a required one
    *     missing
    */
   CallAttributes attributes(HttpHeaders callerHeaders);
 
-  /** The header fields of a request to an engine, without those of its framing. */
+  /** Returns the header fields of a request to an engine, without those of its framing. */
   HttpHeaders engineHeaders(EngineRequest request, Engine engine);
 
-  /** What an engine's status and header fields say. */
+  /** Reads the traits of an engine's response from its status and header fields. */
   ResponseTraits responseTraits(HttpResponse response);
 
-  /** Adds to a refusal's header fields what callers of this deployment expect. */
+  /** Adds the header fields that callers of this deployment expect in a refusal. */
   void addRefusalHeaders(HttpHeaders headers, Refusal refusal, CallAttributes attributes);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/DeferredThread.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/DeferredThread.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.Executor;
 
 /**
- * Runs one long task, such as an event loop, on a thread of its own, but not before {@link #start}.
- * Until then a process that is being built has a single thread, which alone loads classes, native
- * libraries and files.
+ * An executor that runs one long task, such as an event loop, on its own thread, but not before
+ * {@link #start}. Until then the process has a single thread while it is being set up, which alone
+ * loads classes, native libraries and files.
  */
 public final class DeferredThread implements Executor {
   private final String name;
@@ -14,7 +14,7 @@
   private boolean started;
 
   /**
-   * Creates a thread that has not started.
+   * Creates an executor whose thread has not started.
    *
    * @param name the name of the thread
    */
@@ -22,11 +22,11 @@
     this.name = name;
   }
 
-  /** Takes the task; it runs once the thread has started. */
+  /** Accepts the only task; it runs once the thread has started. */
   @Override
   public synchronized void execute(Runnable command) {
     if (task != null) {
-      throw new IllegalStateException("thread " + name + " has its task");
+      throw new IllegalStateException("thread " + name + " already has a task");
     }
     task = command;
     if (started) {
@@ -34,10 +34,10 @@
     }
   }
 
-  /** Starts the thread, now or as soon as it has its task. */
+  /** Starts the thread, now or as soon as it has a task. */
   public synchronized void start() {
     if (started) {
-      throw new IllegalStateException("thread " + name + " was started");
+      throw new IllegalStateException("thread " + name + " has already been started");
     }
     started = true;
     if (task != null) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/EngineConnection.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/EngineConnection.java
@@ -15,16 +15,17 @@
 import org.baykeel.gateway.call.ResponseTraits;
 
 /**
- * A connection to an engine. It is used again only after a whole answer to its own request with
- * nothing behind it; an answer to another request is skipped and ends the connection's use.
+ * A connection to an engine, with at most one request at a time. It is reused only after a complete
+ * response to its own request with no further bytes behind it. A response to another request is
+ * skipped, and the connection is then not reused.
  */
 final class EngineConnection extends ChannelInboundHandlerAdapter {
   private static final long DEFAULT_IDLE_MILLIS = 1_000;
   private static final long IDLE_MARGIN_MILLIS = 400;
 
   /**
-   * A request on a kept connection that is given up after this time without one byte says something
-   * about the connection; callers that leave sooner don't.
+   * The time without a byte after which a cancelled request makes its reused connection count as
+   * silent. Callers that disconnect sooner give no evidence about the connection.
    */
   private static final long MIN_SILENT_NANOS = 500_000_000L;
 
@@ -44,7 +45,7 @@
   private long idleMillis = DEFAULT_IDLE_MILLIS;
   private long idleUntilNanos;
   private long sentNanos;
-  private String failure = "closed";
+  private String failure = "connection closed before the end of the response";
 
   EngineConnection(EngineConnectionPool pool, CallTranslator translator) {
     this.pool = pool;
@@ -71,9 +72,10 @@
   }
 
   /**
-   * The request under way is given up.
+   * Abandons the current request and closes the connection.
    *
-   * @return milliseconds for which nothing came on a connection that was kept; 0 if that is not so
+   * @return the milliseconds without a byte if the connection was reused and counts as silent, else
+   *     0
    */
   long abandon() {
     long nanos = System.nanoTime() - sentNanos;
@@ -122,12 +124,12 @@
 
   private void read(HttpObject object) {
     if (object.decoderResult().isFailure()) {
-      failure = "not an answer";
+      failure = "response is not valid HTTP";
       close();
       return;
     }
     if (current == null) {
-      // Bytes behind a whole answer belong to no request.
+      // Bytes after a complete response belong to no request.
       releasable = false;
       close();
       return;
@@ -206,9 +208,11 @@
     PendingExchange completed = current;
     current = null;
     reused = true;
-    // A connection that rests must notice its end.
+    // An idle connection has to read in order to detect that the engine closes it.
     resumeReading();
-    // An answer that came before the whole request was written leaves the rest of it due.
+    // If the response came before the whole request was written, the rest is still to be sent and
+    // the
+    // connection cannot be reused.
     releasable = reusable && written.isDone() && channel.isActive() && !completed.cancelled();
     if (!releasable) {
       close();
@@ -235,7 +239,9 @@
     if (current != null) {
       PendingExchange broken = current;
       current = null;
-      broken.fail(Failure.BROKEN, failure + (reused ? ", kept connection" : ", new connection"));
+      broken.fail(
+          Failure.BROKEN,
+          failure + (reused ? ", on a reused connection" : ", on a new connection"));
     }
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/EngineConnectionPool.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/EngineConnectionPool.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.baykeel.gateway.directory.Engine;
 
-/** The connections of this process to one engine. */
+/** The connections of this node to one engine. */
 final class EngineConnectionPool {
   private final Engine engine;
   private final ArrayDeque<EngineConnection> idle = new ArrayDeque<>();
@@ -27,7 +27,11 @@
     open++;
   }
 
-  /** The connection used last that the engine is not about to close; null if there is none. */
+  /**
+   * Takes the most recently used connection that the engine is not about to close.
+   *
+   * @return null if there is none
+   */
   EngineConnection takeIdle(long nowNanos) {
     EngineConnection candidate;
     while ((candidate = idle.pollLast()) != null) {
@@ -44,10 +48,10 @@
   }
 
   /**
-   * A kept connection brought nothing at all: those that rested as long may have fallen silent with
-   * it, and a request that may run only once must not be lost on one of them.
+   * Closes all idle connections after a reused one stayed silent: they may be dead for the same
+   * reason, and a request that may run only once must not be lost on one of them.
    *
-   * @return how many are given up
+   * @return the number of connections closed
    */
   int closeIdle() {
     List<EngineConnection> closing = new ArrayList<>(idle);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/HopByHopHeaders.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/HopByHopHeaders.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Header fields that belong to one connection and are never passed on. */
+/** The header fields that apply to one connection only and are never forwarded. */
 public final class HopByHopHeaders {
   private static final Set<String> NAMES =
       Set.of(
@@ -26,7 +26,7 @@
 
   private HopByHopHeaders() {}
 
-  /** A copy of the fields without those that belong to the connection they came on. */
+  /** Returns a copy of the fields without those that apply to their connection only. */
   public static HttpHeaders copyWithout(HttpHeaders headers) {
     Set<String> named = namedByConnection(headers);
     HttpHeaders copy = new DefaultHttpHeaders(false);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/HttpLoadReportClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/HttpLoadReportClient.java
@@ -21,22 +21,25 @@
 import org.baykeel.gateway.topology.RoundTrips;
 
 /**
- * Asks engines for their load over one kept connection to each that is asked. The connection of an
- * engine that is not asked any more is closed, since engines count connections.
+ * Queries engines for their load over one connection to each. The connection to an engine that is
+ * no longer queried is closed, since engines count their connections.
  */
 public final class HttpLoadReportClient implements LoadReportClient {
-  /** What an engine may take to answer besides the way there and back. */
+  /** The time an engine may take to respond, in addition to the round trip. */
   private static final long RESPONSE_MILLIS = 100;
 
   private static final int OK = 200;
 
-  /** An engine that fails or starts answers like this for a while, and has reports afterwards. */
+  /**
+   * Lowest status of a temporary failure: an engine that fails or starts responds so for a while
+   * and has reports afterwards.
+   */
   private static final int SERVER_ERROR = 500;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final long SWEEP_MILLIS = 1_000;
 
-  /** Longer than the slow interval of questions. */
+  /** Longer than the slow interval between queries to an engine. */
   private static final long IDLE_NANOS = 3_000_000_000L;
 
   private final EventLoopGroup group;
@@ -46,7 +49,7 @@
   private final GatewayLog log;
   private final Map<String, QueriedEngine> queriedById = new HashMap<>();
 
-  /** An engine that is asked. */
+  /** An engine that is queried. */
   private static final class QueriedEngine {
     private final EngineRecord record;
     private final PooledHttpClient client;
@@ -64,10 +67,10 @@
   }
 
   /**
-   * Creates a port without connections.
+   * Creates a client without connections.
    *
-   * @param format what is asked and answered
-   * @param roundTrips how far engines are
+   * @param format the path and the encoding of reports
+   * @param roundTrips the round trips to engines
    * @param metrics counts the connections that are opened
    */
   public HttpLoadReportClient(
@@ -93,7 +96,9 @@
       group
           .next()
           .execute(
-              () -> callback.accept(new LoadQueryResult.NoResponse("a question is under way")));
+              () ->
+                  callback.accept(
+                      new LoadQueryResult.NoResponse("a query is already in progress")));
       return;
     }
     queried.queryInProgress = true;
@@ -108,7 +113,7 @@
         });
   }
 
-  /** An engine that comes back at another address is called there. */
+  /** Returns the state of an engine; an engine whose address has changed gets a new client. */
   private QueriedEngine queriedAt(EngineRecord record) {
     QueriedEngine known = queriedById.get(record.id());
     if (known != null && known.isAt(record)) {
@@ -137,7 +142,7 @@
       long asOf = sentNanos - format.lagMillis() * NANOS_PER_MILLI;
       return report
           .<LoadQueryResult>map(decoded -> new LoadQueryResult.Reported(decoded, asOf))
-          .orElseGet(() -> new LoadQueryResult.Unavailable("no report"));
+          .orElseGet(() -> new LoadQueryResult.Unavailable("response holds no usable report"));
     }
     return reply instanceof StoreReply.Lost lost
         ? new LoadQueryResult.NoResponse(lost.reason())
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/IngressConnection.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/IngressConnection.java
@@ -43,11 +43,11 @@
 import org.baykeel.gateway.telemetry.GatewayEvent;
 import org.baykeel.gateway.telemetry.GatewayLog;
 
-/** A caller's connection: reads one request at a time and writes its answer. */
+/** A caller's connection: reads one request at a time and writes its response. */
 final class IngressConnection extends ChannelInboundHandlerAdapter implements CallResponder {
   private static final int MAX_QUEUED_OBJECTS = 32;
 
-  /** Parts in which a long answer is written, so that it is seen how much of it was read. */
+  /** Size of the parts of a long response; each is counted as delivered on its own. */
   private static final int PART_BYTES = 1 << 16;
 
   private static final int REQUEST_HEADER_FIELDS_TOO_LARGE = 431;
@@ -88,7 +88,7 @@
     context = handlerContext;
   }
 
-  /** Whether a request is under way, or a part of its answer is not read yet. */
+  /** Returns whether a request is in progress or the caller has not read all of a response. */
   boolean active() {
     return responding || head != null || flow.held() > 0;
   }
@@ -121,7 +121,7 @@
     }
   }
 
-  // Reading.
+  // Reading of requests.
 
   @Override
   public void channelRead(ChannelHandlerContext handlerContext, Object message) {
@@ -163,16 +163,16 @@
     keepAlive = HttpUtil.isKeepAlive(request);
     attributes = null;
     if (request.headers().getAll(HttpHeaderNames.HOST).size() != 1) {
-      refuseAndClose(ErrorKind.INVALID_REQUEST, "host");
+      refuseAndClose(ErrorKind.INVALID_REQUEST, "expected exactly one host header");
       return;
     }
     String encoding = request.headers().get(HttpHeaderNames.TRANSFER_ENCODING);
     if (encoding != null && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encoding.trim())) {
-      refuseAndClose(ErrorKind.INVALID_REQUEST, "transfer encoding");
+      refuseAndClose(ErrorKind.INVALID_REQUEST, "unsupported transfer encoding");
       return;
     }
     if (HttpUtil.getContentLength(request, 0L) > server.limits().maxBodyBytes()) {
-      refuseAndClose(ErrorKind.TOO_LARGE, "body");
+      refuseAndClose(ErrorKind.TOO_LARGE, "request body exceeds the limit");
       return;
     }
     if (HttpUtil.is100ContinueExpected(request)) {
@@ -184,7 +184,7 @@
   private void addContent(HttpContent content) {
     int length = content.content().readableBytes();
     if (body.size() + length > server.limits().maxBodyBytes()) {
-      refuseAndClose(ErrorKind.TOO_LARGE, "body");
+      refuseAndClose(ErrorKind.TOO_LARGE, "request body exceeds the limit");
       return;
     }
     byte[] bytes = new byte[length];
@@ -247,14 +247,14 @@
     LingeringClose.begin(context.channel());
   }
 
-  // Writing.
+  // Writing of responses.
 
   @Override
   public CallerFlow flow() {
     return flow;
   }
 
-  /** Counts bytes as held until the caller has taken them, if it has not yet. */
+  /** Counts bytes as held until their write completes, unless it already has. */
   private void countUntilDelivered(ChannelFuture written, int bytes) {
     if (written.isDone()) {
       return;
@@ -348,7 +348,8 @@
     head = null;
     lastActivityNanos = System.nanoTime();
     if (discarding) {
-      // A refusal of a request that was not read whole; what refused it ends the connection.
+      // The request was refused before it was read completely; the refusing method closes the
+      // connection.
       return;
     }
     if (!keep) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/IngressServer.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/IngressServer.java
@@ -23,13 +23,16 @@
 import org.baykeel.gateway.configuration.RequestLimits;
 import org.baykeel.gateway.telemetry.GatewayLog;
 
-/** Accepts callers' connections and closes those that rest or stall for too long. */
+/** Accepts the connections of callers and closes those that are idle or stalled for too long. */
 public final class IngressServer implements GracefulStop.CallerConnections {
   private static final long SWEEP_MILLIS = 500;
   private static final int BACKLOG = 1_024;
   private static final int MAX_CHUNK_BYTES = 65_536;
 
-  /** The decoder counts the request line by itself; a limit applies to both together. */
+  /**
+   * Slack for the decoder, which limits the request line and the header fields separately, whereas
+   * the configured limit is for both together.
+   */
   private static final int LIMIT_SLACK_BYTES = 512;
 
   private final CallCoordinator coordinator;
@@ -41,9 +44,9 @@
   private Channel listener;
 
   /**
-   * Creates a server that does not listen.
+   * Creates a server that does not listen yet.
    *
-   * @param held counts what is held for callers
+   * @param held limits the bytes held for callers
    */
   public IngressServer(
       CallCoordinator coordinator,
@@ -59,7 +62,7 @@
   }
 
   /**
-   * Begins to listen; may be called on the event loop.
+   * Starts to listen; may be called on the event loop.
    *
    * @return completes when the address is bound, or fails if it cannot be
    */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/KeepAliveBootstrap.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/KeepAliveBootstrap.java
@@ -8,24 +8,25 @@
 import jdk.net.ExtendedSocketOptions;
 
 /**
- * Connections that this process opens and keeps. One may fall silent for good without being closed,
- * while new ones work; probes of the operating system find out, so that it is not used again.
+ * Creates bootstraps for long-lived outgoing connections. Such a connection may stop delivering
+ * data without being closed, while new connections work; TCP keep-alive probes detect this, so that
+ * it is not reused.
  */
 public final class KeepAliveBootstrap {
-  /** Time without a byte after which the operating system probes, in seconds. */
+  /** Time without a byte, in seconds, after which the operating system starts to probe. */
   private static final int PROBE_AFTER_SECONDS = 1;
 
   private static final int PROBE_INTERVAL_SECONDS = 1;
 
-  /** Probes without an answer after which the connection counts as closed: 3 s in all. */
+  /** Unanswered probes after which the connection is closed: 3 s in all. */
   private static final int PROBES = 2;
 
   private KeepAliveBootstrap() {}
 
   /**
-   * A bootstrap for connections that notice the other end's silence.
+   * Returns a bootstrap for connections that detect that the other end has become silent.
    *
-   * @param connectTimeoutMillis how long a connection may take to come up
+   * @param connectTimeoutMillis the time limit for connecting, in milliseconds
    */
   public static Bootstrap bootstrap(EventLoopGroup group, int connectTimeoutMillis) {
     return new Bootstrap()
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/LingeringClose.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/LingeringClose.java
@@ -9,16 +9,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Closes a connection whose caller may still be sending. A socket that is closed with unread bytes
- * resets the connection, and the reset can overtake the answer; so the end of the answer is sent
- * first, and what still arrives is read and dropped until the caller closes or a time has passed.
+ * Closes a connection whose caller may still be sending. Closing a socket with unread bytes resets
+ * the connection, and the reset can overtake the response. The output is therefore shut down first,
+ * and incoming bytes are read and discarded until the caller closes or a time limit has passed.
  */
 public final class LingeringClose extends ChannelInboundHandlerAdapter {
   private static final long LINGER_MILLIS = 2_000;
 
   private LingeringClose() {}
 
-  /** Ends a connection after what was written to it before. */
+  /** Starts to close a connection after the preceding writes. */
   public static void begin(Channel channel) {
     channel.pipeline().addFirst(new LingeringClose());
     channel
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/NettyEngineTransport.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/NettyEngineTransport.java
@@ -23,7 +23,7 @@
 import org.baykeel.gateway.telemetry.GatewayMetrics;
 import org.baykeel.gateway.topology.RoundTrips;
 
-/** Sends requests to engines over kept connections, one request at a time on each. */
+/** Sends requests to engines over pooled connections, one request at a time on each. */
 public final class NettyEngineTransport implements EngineTransport {
   private static final int CONNECT_TIMEOUT_MILLIS = 300;
   private static final long SWEEP_MILLIS = 500;
@@ -35,14 +35,14 @@
   private final RoundTrips roundTrips;
   private final GatewayLog log;
 
-  /** By life of an engine: no request to a later life goes over a connection to a former one. */
+  /** Keyed by incarnation: a connection to an earlier incarnation is not used for a later one. */
   private final Map<Engine, EngineConnectionPool> poolByEngine = new IdentityHashMap<>();
 
   /**
    * Creates a transport without connections.
    *
    * @param metrics counts the connections that are opened
-   * @param roundTrips learns from connections how far engines are
+   * @param roundTrips records the time that connections take to set up
    */
   public NettyEngineTransport(
       EventLoopGroup group,
@@ -73,8 +73,10 @@
     if (idle != null) {
       idle.send(exchange);
     } else if (pool.open() >= MAX_CONNECTIONS_PER_ENGINE) {
-      // The listener must not be called before its owner holds the exchange.
-      group.next().execute(() -> exchange.fail(Failure.NOT_SENT, "connection limit"));
+      // The listener must not be called before the caller has received the exchange.
+      group
+          .next()
+          .execute(() -> exchange.fail(Failure.NOT_SENT, "connection limit of the engine reached"));
     } else {
       connect(engine, pool, exchange);
     }
@@ -134,7 +136,7 @@
               }
               if (!future.isSuccess()) {
                 pool.onClosed(connection);
-                exchange.fail(Failure.NOT_SENT, "connect " + future.cause().getMessage());
+                exchange.fail(Failure.NOT_SENT, "connect failed: " + future.cause().getMessage());
               } else if (exchange.cancelled()) {
                 connection.close();
               } else {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/NettyEventLoop.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/NettyEventLoop.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import org.baykeel.gateway.runtime.EventLoop;
 
-/** The event loop of Netty as the product's clock and timers. */
+/** The event loop of Netty as clock and timers. */
 public final class NettyEventLoop implements EventLoop {
   private final EventExecutor executor;
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/NettyLogging.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/NettyLogging.java
@@ -9,8 +9,8 @@
 import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
- * Netty's warnings and errors as events of the gateway. The logging of the JDK, which Netty would
- * use otherwise, prints beside the node's log and in another form.
+ * Writes the warnings and errors of Netty to the node's log. Otherwise Netty would use the logging
+ * of the JDK, which has another format and does not write to the node's log.
  */
 public final class NettyLogging extends InternalLoggerFactory {
   private final GatewayLog log;
@@ -20,9 +20,9 @@
   }
 
   /**
-   * Sends what Netty logs from now on to a log. Loggers that exist already keep theirs.
+   * Makes Netty write to a log from now on. Loggers that already exist are not changed.
    *
-   * @param log takes warnings and errors; the rest is left out
+   * @param log receives warnings and errors; lower levels are discarded
    */
   public static void install(GatewayLog log) {
     setDefaultFactory(new NettyLogging(log));
@@ -33,7 +33,7 @@
     return new Logger(name, log);
   }
 
-  /** Netty's logger of one class. Its interface has five forms of each of five levels. */
+  /** The logger of one class. Its interface has five overloads for each of five levels. */
   private static final class Logger extends AbstractInternalLogger {
     private static final long serialVersionUID = 1L;
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/PendingExchange.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/PendingExchange.java
@@ -4,7 +4,7 @@
 import org.baykeel.gateway.call.EngineTransport;
 import org.baykeel.gateway.call.ResponseHead;
 
-/** A request on its way to one engine, and who hears of the answer. */
+/** A request sent to one engine, with the listener for its response. */
 final class PendingExchange implements EngineTransport.Exchange {
   private final String requestId;
   private final FullHttpRequest request;
@@ -15,13 +15,13 @@
   private boolean cancelled;
   private boolean ended;
 
-  /** Hears of kept connections on which nothing came. */
+  /** Is notified of reused connections that stayed silent. */
   interface SilenceListener {
     /**
-     * A request was given up.
+     * Called when a request was cancelled on a silent connection.
      *
-     * @param connections those to the same engine
-     * @param millis how long nothing came
+     * @param connections the pool of the engine
+     * @param millis the time without a byte, in milliseconds
      */
     void onSilent(EngineConnectionPool connections, long millis);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/PooledHttpClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/PooledHttpClient.java
@@ -29,7 +29,7 @@
 import org.baykeel.gateway.telemetry.GatewayEvent;
 import org.baykeel.gateway.telemetry.GatewayLog;
 
-/** Makes HTTP calls to one address over kept connections, one call at a time on each. */
+/** An HTTP client for one address with pooled connections, one request at a time on each. */
 public final class PooledHttpClient implements StoreClient {
   private static final int CONNECT_TIMEOUT_MILLIS = 400;
   private static final int MAX_RESPONSE_BYTES = 16 << 20;
@@ -44,20 +44,20 @@
   private final ArrayDeque<Connection> idle = new ArrayDeque<>();
 
   /**
-   * Creates a caller without connections.
+   * Creates a client of the store without connections.
    *
    * @param group the event loop
-   * @param address the only address that it calls
+   * @param address the only address that it connects to
    */
   public PooledHttpClient(EventLoopGroup group, InetSocketAddress address, GatewayLog log) {
     this(group, address, "store", () -> {}, log);
   }
 
   /**
-   * Creates a caller without connections.
+   * Creates a client without connections.
    *
-   * @param kind what is called, for log lines
-   * @param onConnect hears of each connection that is opened
+   * @param kind the kind of server, for log lines
+   * @param onConnect runs for each connection that is opened
    */
   PooledHttpClient(
       EventLoopGroup group,
@@ -108,9 +108,9 @@
   }
 
   /**
-   * Closes the connections that rest; calls under way go on.
+   * Closes the idle connections; requests in progress continue.
    *
-   * @return how many there were
+   * @return the number of connections closed
    */
   int closeIdle() {
     List<Connection> closed = new ArrayList<>(idle);
@@ -147,7 +147,7 @@
             });
   }
 
-  /** One kept connection. */
+  /** One pooled connection. */
   private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private Channel channel;
     private Consumer<StoreReply> pendingCallback;
@@ -195,7 +195,7 @@
       return callback;
     }
 
-    /** The connection may have fallen silent for good, and those that rest with it. */
+    /** Closes the idle connections too, since they may be dead for the same reason as this one. */
     private void onTimeout(long timeoutMillis) {
       int closed = closeIdle();
       log.write(
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/ReadinessServer.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/ReadinessServer.java
@@ -25,8 +25,8 @@
 import org.baykeel.gateway.telemetry.GatewayMetrics;
 
 /**
- * Answers 200 while the process is ready for callers, 503 otherwise, to any request but one for
- * {@value #METRICS_PATH}.
+ * Serves the metrics at {@value #METRICS_PATH}. Any other request gets status 200 while the node is
+ * ready for callers, otherwise 503.
  */
 public final class ReadinessServer {
   private static final int MAX_REQUEST_BYTES = 16_384;
@@ -42,7 +42,7 @@
   }
 
   /**
-   * Begins to listen; may be called on the event loop.
+   * Starts to listen; may be called on the event loop.
    *
    * @return completes when the address is bound, or fails if it cannot be
    */
@@ -65,7 +65,7 @@
         .bind(address);
   }
 
-  /** Answers one connection. */
+  /** Serves one connection. */
   private final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/StrictRequestDecoder.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/StrictRequestDecoder.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
-/** Refuses requests whose length could be read in two ways, which could hide a second request. */
+/** Rejects requests with an ambiguous body length, which could be used to smuggle a request. */
 final class StrictRequestDecoder extends HttpRequestDecoder {
 
   StrictRequestDecoder(HttpDecoderConfig config) {
@@ -13,6 +13,6 @@
 
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-    throw new IllegalArgumentException("both a length and chunks");
+    throw new IllegalArgumentException("request has both a content length and a chunked body");
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/LoopbackGateway.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/LoopbackGateway.java
@@ -96,32 +96,32 @@
     ingress.listen(group, new InetSocketAddress("127.0.0.1", port)).syncUninterruptibly();
   }
 
-  /** Closes what rests, as a planned stop does. */
+  /** Closes idle connections, as a planned stop does. */
   void closeIdle() throws Exception {
     group.next().submit(ingress::closeIdle).get(20, TimeUnit.SECONDS);
   }
 
-  /** Requests that a planned stop waits for. */
+  /** Returns the number of requests that a planned stop waits for. */
   long activeCalls() throws Exception {
     return onLoop(ingress::activeCalls);
   }
 
-  /** Where callers connect. */
+  /** Returns the port to which callers connect. */
   int port() {
     return port;
   }
 
-  /** What was logged of callers. */
+  /** Returns the events that the caller-facing server has logged. */
   List<GatewayEvent> events() {
     return events;
   }
 
-  /** Bytes held for all callers. */
+  /** Returns the bytes held for all callers. */
   long heldBytes() throws Exception {
     return onLoop(held::totalBytes);
   }
 
-  /** Calls whose engines are not read. */
+  /** Returns the number of calls whose engines are not read. */
   long paused() throws Exception {
     return onLoop(held::pausedCalls);
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestEngineConnection.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestEngineConnection.java
@@ -58,7 +58,7 @@
     return directory.ofService("s").get(0);
   }
 
-  /** Sends a request and returns how it ended: the body, or the failure. */
+  /** Sends a request and returns its outcome: status and body, or the failure. */
   private String sendAndAwait(Engine engine, String id) throws Exception {
     HttpHeaders headers = new DefaultHttpHeaders();
     headers.set("Host", "h");
@@ -100,24 +100,24 @@
                     new EngineRequest(source, new byte[3], 1, Caller.WITHOUT_KEYS, -1, -1),
                     listener));
     String result = end.get(20, TimeUnit.SECONDS);
-    // The connection is given back after the read that completed the answer.
+    // The connection returns to the pool after the read that completed the response.
     group.next().submit(() -> {}).get();
     return result;
   }
 
   @ParameterizedTest(name = "{0}")
   @CsvSource({
-    "whole, HTTP/1.1 200 OK|X-Id: r1|Content-Length: 4||body, KEEP, 200 body",
+    "complete, HTTP/1.1 200 OK|X-Id: r1|Content-Length: 4||body, KEEP, 200 body",
     "chunked, HTTP/1.1 200 OK|X-Id: r1|Transfer-Encoding: chunked||4|body|0||, KEEP, 200 body",
-    "cut in its length, HTTP/1.1 200 OK|X-Id: r1|Content-Length: 9||body, CLOSE, BROKEN",
-    "cut in its chunks, HTTP/1.1 200 OK|X-Id: r1|Transfer-Encoding: chunked||4|body|, CLOSE, BROKEN",
-    "ends with its connection, HTTP/1.1 200 OK|X-Id: r1||body, CLOSE, 200 body",
+    "truncated in its content length, HTTP/1.1 200 OK|X-Id: r1|Content-Length: 9||body, CLOSE, BROKEN",
+    "truncated in its chunks, HTTP/1.1 200 OK|X-Id: r1|Transfer-Encoding: chunked||4|body|, CLOSE, BROKEN",
+    "delimited by the end of the connection, HTTP/1.1 200 OK|X-Id: r1||body, CLOSE, 200 body",
     "without length and reset, HTTP/1.1 200 OK|X-Id: r1||body, RESET, BROKEN",
-    "no answer, '', CLOSE, BROKEN",
-    "not an answer, GARBAGE||, CLOSE, BROKEN",
-    "after an interim answer, HTTP/1.1 100 Continue||HTTP/1.1 200 OK|X-Id: r1|Content-Length: 2||ok, KEEP, 200 ok",
-    "after another's answer, HTTP/1.1 200 OK|X-Id: zz|Content-Length: 2||noHTTP/1.1 200 OK|X-Id: r1|Content-Length: 2||ok, KEEP, 200 ok",
-    "only another's answer, HTTP/1.1 200 OK|X-Id: zz|Content-Length: 2||no, CLOSE, BROKEN",
+    "no response, '', CLOSE, BROKEN",
+    "not HTTP, GARBAGE||, CLOSE, BROKEN",
+    "after an interim response, HTTP/1.1 100 Continue||HTTP/1.1 200 OK|X-Id: r1|Content-Length: 2||ok, KEEP, 200 ok",
+    "after a response to another request, HTTP/1.1 200 OK|X-Id: zz|Content-Length: 2||noHTTP/1.1 200 OK|X-Id: r1|Content-Length: 2||ok, KEEP, 200 ok",
+    "only a response to another request, HTTP/1.1 200 OK|X-Id: zz|Content-Length: 2||no, CLOSE, BROKEN",
   })
   void aResponseEndsCompleteOrBroken(String name, String bytes, After after, String outcome)
       throws Exception {
@@ -160,7 +160,10 @@
       sendAndAwait(target, "r1");
       assertEquals("200 body", sendAndAwait(target, "r2"));
       assertEquals("200 body", sendAndAwait(target, "r3"));
-      assertEquals(2, engine.connections(), "a connection with a stray answer is not used again");
+      assertEquals(
+          2,
+          engine.connections(),
+          "a connection with a response to another request must not be reused");
     }
   }
 
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestHttpLoadReportClient.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestHttpLoadReportClient.java
@@ -35,10 +35,10 @@
   private static final long LAG_MILLIS = 200;
   private static final String REPORT = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n7";
 
-  /** Longer than a connection is kept without questions, with a round of clearing up. */
+  /** Longer than a connection stays open without queries, plus one sweep. */
   private static final long IDLE_MILLIS = 4_500;
 
-  /** A report is one number, the requests that run. */
+  /** A report is one number, the running requests. */
   private static final LoadReportFormat FORMAT =
       new LoadReportFormat() {
         @Override
@@ -100,7 +100,7 @@
             assertInstanceOf(LoadQueryResult.Reported.class, queryAndAwait(engine));
         assertEquals(new LoadReport(new EngineLoad(0, 7, 0, 0), 5), reported.report());
         long ageMillis = (System.nanoTime() - reported.asOfNanos()) / 1_000_000;
-        assertTrue(ageMillis >= LAG_MILLIS, "a report tells the past: " + ageMillis);
+        assertTrue(ageMillis >= LAG_MILLIS, "age must include the lag of the report: " + ageMillis);
       }
       assertEquals(1, server.connections());
       assertTrue(server.requests().get(0).startsWith("GET /load HTTP/1.1\r\n"));
@@ -137,7 +137,8 @@
     String bytes = REPORT.replace("7", "x");
     try (ScriptedEngine server = new ScriptedEngine(new Response(bytes, After.KEEP))) {
       assertEquals(
-          new LoadQueryResult.Unavailable("no report"), queryAndAwait(engineAt(server.port())));
+          new LoadQueryResult.Unavailable("response holds no usable report"),
+          queryAndAwait(engineAt(server.port())));
     }
   }
 
@@ -158,7 +159,7 @@
       CompletableFuture<LoadQueryResult> first = queryAsync(engine);
       CompletableFuture<LoadQueryResult> second = queryAsync(engine);
       assertEquals(
-          new LoadQueryResult.NoResponse("a question is under way"),
+          new LoadQueryResult.NoResponse("a query is already in progress"),
           second.get(20, TimeUnit.SECONDS));
       assertEquals(new LoadQueryResult.NoResponse("time-out"), first.get(20, TimeUnit.SECONDS));
       assertEquals(1, server.requests().size());
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestIngressConnection.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestIngressConnection.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Callers' bytes against a whole node on loopback, before a scripted engine. */
+/** Sends raw bytes of callers to a complete node on loopback, with a scripted engine behind it. */
 class TestIngressConnection {
   private static final String ANSWER =
       "HTTP/1.1 200 OK\r\nX-Id: r1\r\nX-Signed: s\r\nContent-Length: 4\r\n\r\nbody";
@@ -66,7 +66,7 @@
     gateway.close();
   }
 
-  /** Sends bytes and returns all that comes back until the node closes the connection. */
+  /** Sends bytes and returns everything received until the node closes the connection. */
   private String exchangeToEnd(String bytes) throws IOException {
     try (Socket socket = connect()) {
       socket.getOutputStream().write(bytes.getBytes(StandardCharsets.US_ASCII));
@@ -80,7 +80,7 @@
     return socket;
   }
 
-  /** Sends bytes on an open connection and reads until so many whole answers have come. */
+  /** Sends bytes on an open connection and reads until the number of complete responses arrived. */
   private static String exchange(Socket socket, String bytes, int responses) throws IOException {
     socket.getOutputStream().write(bytes.getBytes(StandardCharsets.US_ASCII));
     StringBuilder response = new StringBuilder();
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestLingeringClose.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestLingeringClose.java
@@ -23,7 +23,7 @@
   private static final int LONG_REQUEST = 16 << 20;
   private static final int TIMEOUT_MILLIS = 20_000;
 
-  /** Answers the first bytes and ends the connection. */
+  /** Responds to the first bytes and starts a lingering close. */
   private static final class RefusingHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestNettyLogging.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestNettyLogging.java
@@ -23,8 +23,8 @@
   void logsWarningsAndErrorsAndDiscardsLowerLevels() {
     NettyLogging.install((event, fields) -> lines.add(event + " " + Arrays.toString(fields)));
     InternalLogger logger = InternalLoggerFactory.getInstance("a.Class");
-    logger.debug("not told");
-    logger.info("not told {}", 1);
+    logger.debug("not logged");
+    logger.info("not logged {}", 1);
     logger.warn("{} of {}", 2, 3);
     logger.error("broken", new IllegalStateException("cause"));
     assertEquals(
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSilentConnections.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSilentConnections.java
@@ -44,7 +44,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Open connections fall silent for good, without being closed, while new ones work. */
+/**
+ * Guards against the reuse of dead connections. A proxy stops forwarding on the connections that
+ * are open, without closing them, while new connections work.
+ */
 class TestSilentConnections {
   private static final ScriptedEngine.Response ANSWER =
       new ScriptedEngine.Response(
@@ -62,7 +65,7 @@
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
   }
 
-  /** A request to an engine under way. */
+  /** A request that was sent to an engine. */
   private static final class Sent implements EngineTransport.Listener {
     private final CompletableFuture<String> end = new CompletableFuture<>();
     private final CompletableFuture<EngineTransport.Exchange> exchange = new CompletableFuture<>();
@@ -190,7 +193,7 @@
     InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
     var bound = new LinkServer(SERVICES).listen(group, any).syncUninterruptibly();
     int port = ((InetSocketAddress) bound.channel().localAddress()).getPort();
-    // Long enough for a busy machine to answer in.
+    // Long enough for a response on a busy machine.
     PeerLatency distance = peer -> 1_000;
     LinkClient client = new LinkClient(group, distance, (event, fields) -> events.add(event));
     try (SilencingProxy proxy = new SilencingProxy(port)) {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSlowCallers.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSlowCallers.java
@@ -29,17 +29,20 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Callers on loopback that stop reading, before an engine that answers as fast as it is read. */
+/**
+ * Checks that callers on loopback that stop reading do not make the node buffer without limit. The
+ * engine writes its response as fast as the node reads it.
+ */
 class TestSlowCallers {
   private static final long CALL_BYTES = 256 << 10;
   private static final int EVENT_BYTES = 1_024;
   private static final int EVENTS = 32 << 10;
   private static final long ANSWER_BYTES = (long) EVENT_BYTES * EVENTS;
 
-  /** More than the sockets on the way hold by themselves, less than a half of the answer. */
+  /** More than the buffers of all sockets in between hold, at most half of the response. */
   private static final long SOCKETS_BYTES = 16 << 20;
 
-  /** What one read of an engine's connection may bring beyond the bound. */
+  /** The bytes beyond the limit that one read of an engine's connection may add. */
   private static final long ONE_READ_BYTES = 1 << 20;
 
   private static final int TIMEOUT_MILLIS = 60_000;
@@ -96,7 +99,7 @@
         });
   }
 
-  /** Runs until it fails, which it does once the test ends. */
+  /** Runs a task that fails once the test closes its socket. */
   private static void inBackground(Callable<Void> task) {
     Thread thread =
         new Thread(
@@ -104,7 +107,7 @@
               try {
                 task.call();
               } catch (Exception e) {
-                // Its socket was closed.
+                // The socket was closed.
               }
             });
     thread.setDaemon(true);
@@ -170,7 +173,7 @@
     }
   }
 
-  /** Reads a body in chunks or of the length in its head. */
+  /** Reads a chunked body, or one of the expected length. */
   private static byte[] readBody(Socket socket, String head) throws IOException {
     InputStream in = new BufferedInputStream(socket.getInputStream(), 1 << 16);
     if (!head.toLowerCase(Locale.ROOT).contains("transfer-encoding: chunked")) {
@@ -276,7 +279,7 @@
     call();
     await(() -> gateway.events().contains(GatewayEvent.CALLER_TOO_SLOW));
     await(() -> gateway.heldBytes() < 160 << 10);
-    // Who reads is served meanwhile.
+    // A caller that reads is served in the meantime.
     Socket reader = call();
     assertWhole(readBody(reader, readHead(reader.getInputStream())));
     assertTrue(first.isConnected());
