--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/datagram/DatagramPeerTransport.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/datagram/DatagramPeerTransport.java
@@ -13,15 +13,15 @@
 import org.baykeel.gateway.peer.PeerAddress;
 import org.baykeel.gateway.peer.PeerTransport;
 
-/** Datagrams over UDP. */
+/** Sends and receives datagrams between nodes over UDP. */
 public final class DatagramPeerTransport implements PeerTransport {
   private volatile Channel channel;
 
   /**
-   * Begins to receive; may be called on the event loop. Until the address is bound, nothing is
-   * sent.
+   * Starts to receive; may be called on the event loop. Until the address is bound, {@link #send}
+   * drops datagrams.
    *
-   * @param receiver takes what arrives, on the event loop
+   * @param receiver receives the datagrams, on the event loop
    * @return completes when the address is bound, or fails if it cannot be
    */
   public ChannelFuture listen(EventLoopGroup group, PeerAddress address, Receiver receiver) {
@@ -51,7 +51,7 @@
     }
   }
 
-  /** Hands datagrams on. */
+  /** Passes datagrams to the receiver. */
   private static final class Handler extends SimpleChannelInboundHandler<DatagramPacket> {
     private final Receiver receiver;
 
@@ -70,7 +70,8 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      // A datagram that cannot be sent or read is lost, as any datagram may be.
+      // A datagram that cannot be sent or read is lost, which callers of send have to expect
+      // anyway.
     }
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/runtime/EventLoop.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/runtime/EventLoop.java
@@ -1,17 +1,19 @@
 package org.baykeel.gateway.runtime;
 
-/** The single thread of a process: its steady clock and its timers. */
+/**
+ * The event loop of a process, with a monotonic clock and timers. All its tasks run on one thread.
+ */
 public interface EventLoop {
 
-  /** Nanoseconds of a steady clock. */
+  /** Returns the nanoseconds of a monotonic clock. */
   long nanoTime();
 
   /** Runs a task once after a delay. */
   Timer schedule(long delayMillis, Runnable task);
 
-  /** A task that has not run yet. */
+  /** A scheduled task. */
   interface Timer {
-    /** Does nothing if the task has run. */
+    /** Cancels the task; does nothing if it has run. */
     void cancel();
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/runtime/package-info.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/runtime/package-info.java
@@ -1,2 +1,2 @@
-/** Time and timers, injected so that tests and simulations drive them. */
+/** Clock and timers as an interface, so that tests and simulations can control time. */
 package org.baykeel.gateway.runtime;
