--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/buffering/CallerFlow.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/buffering/CallerFlow.java
@@ -1,12 +1,14 @@
 package org.baykeel.gateway.buffering;
 
 /**
- * What is held for one caller: bytes that were written to its connection and that it has not read,
- * and events that wait for their grant. One for each connection, which carries one call at a time;
- * what is left of an answer stays counted after its call.
+ * Counts the bytes held for one caller and pauses the source of its response.
+ *
+ * <p>Held bytes are those written to the caller's connection that it has not read, and events that
+ * wait for their token grant. There is one instance per connection, which carries one call at a
+ * time; the unread rest of a response stays counted after the end of its call.
  */
 public final class CallerFlow {
-  private final HeldBytesLimiter node;
+  private final HeldBytesLimiter limiter;
   private final SlowCallerListener listener;
   private ResponseSource source = ResponseSource.NONE;
   private long held;
@@ -14,25 +16,25 @@
   private boolean paused;
   private boolean closed;
 
-  /** Ends the connection of a caller that is given up. */
+  /** Closes the connection of a caller that reads too slowly. */
   @FunctionalInterface
   public interface SlowCallerListener {
     /**
-     * The caller is given up; nothing of it is counted any more.
+     * Called when the caller is abandoned; its bytes are no longer counted.
      *
-     * @param held bytes that were held for it
+     * @param held bytes that were held for the caller
      * @param nodeHeld bytes that the node held for all callers
-     * @param unreadMillis for how long it has read nothing
+     * @param unreadMillis milliseconds for which the caller has read nothing
      */
-    void callerTooSlow(long held, long nodeHeld, long unreadMillis);
+    void onSlowCaller(long held, long nodeHeld, long unreadMillis);
   }
 
-  CallerFlow(HeldBytesLimiter node, SlowCallerListener listener) {
-    this.node = node;
+  CallerFlow(HeldBytesLimiter limiter, SlowCallerListener listener) {
+    this.limiter = limiter;
     this.listener = listener;
   }
 
-  /** Sets where the caller's answer comes from now; {@link ResponseSource#NONE} if from nowhere. */
+  /** Sets the source of the caller's response; {@link ResponseSource#NONE} if it has none. */
   public void setSource(ResponseSource newSource) {
     source = newSource;
     if (paused) {
@@ -40,45 +42,45 @@
     }
   }
 
-  /** More is held. */
+  /** Counts bytes that are now held for the caller. */
   public void hold(long bytes) {
     if (closed || bytes == 0) {
       return;
     }
     if (held == 0) {
-      unreadSinceNanos = node.nanoTime();
+      unreadSinceNanos = limiter.nanoTime();
     }
     held += bytes;
-    node.held(this, bytes);
+    limiter.onHeld(this, bytes);
   }
 
-  /** The caller has read some of what was held. */
+  /** Releases bytes that the caller has read. */
   public void delivered(long bytes) {
     if (!closed) {
-      unreadSinceNanos = node.nanoTime();
+      unreadSinceNanos = limiter.nanoTime();
       release(bytes);
     }
   }
 
-  /** Some of what was held is not held here any more, though the caller need not have read it. */
+  /** Releases bytes that are no longer held here, whether or not the caller has read them. */
   public void release(long bytes) {
     if (!closed && bytes > 0) {
       held -= bytes;
-      node.taken(this, bytes);
+      limiter.onReleased(this, bytes);
     }
   }
 
-  /** The caller is gone: nothing is held for it. */
+  /** Releases all bytes; the caller has disconnected. */
   public void close() {
     release(held);
     source = ResponseSource.NONE;
     closed = true;
   }
 
-  void giveUp(long nodeHeld, long unreadMillis) {
+  void abandon(long nodeHeld, long unreadMillis) {
     long before = held;
     close();
-    listener.callerTooSlow(before, nodeHeld, unreadMillis);
+    listener.onSlowCaller(before, nodeHeld, unreadMillis);
   }
 
   void pause() {
@@ -95,17 +97,17 @@
     }
   }
 
-  /** Bytes held. */
+  /** Returns the bytes held for the caller. */
   public long held() {
     return held;
   }
 
-  /** Since when the caller has read nothing of what is held for it. */
+  /** Returns the time since which the caller has read none of the held bytes. */
   long unreadSinceNanos() {
     return unreadSinceNanos;
   }
 
-  /** Whether its answer is not to be read on. */
+  /** Returns whether the source of the response has to be paused. */
   public boolean paused() {
     return paused;
   }
@@ -114,7 +116,7 @@
     return source != ResponseSource.NONE;
   }
 
-  boolean holdsBackSource() {
+  boolean pausesSource() {
     return paused && hasSource();
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/HttpLoadReportClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/HttpLoadReportClient.java
@@ -21,53 +21,56 @@
 import org.baykeel.gateway.topology.RoundTrips;
 
 /**
- * Asks engines for their load over one kept connection to each that is asked. The connection of an
- * engine that is not asked any more is closed, since engines count connections.
+ * Queries engines for their load over one connection to each. The connection to an engine that is
+ * no longer queried is closed, since engines count their connections.
  */
 public final class HttpLoadReportClient implements LoadReportClient {
-  /** What an engine may take to answer besides the way there and back. */
-  private static final long ANSWER_MILLIS = 100;
+  /** The time an engine may take to respond, in addition to the round trip. */
+  private static final long RESPONSE_MILLIS = 100;
 
   private static final int OK = 200;
 
-  /** An engine that fails or starts answers like this for a while, and has reports afterwards. */
+  /**
+   * Lowest status of a temporary failure: an engine that fails or starts responds so for a while
+   * and has reports afterwards.
+   */
   private static final int SERVER_ERROR = 500;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final long SWEEP_MILLIS = 1_000;
 
-  /** Longer than the slow interval of questions. */
-  private static final long UNUSED_NANOS = 3_000_000_000L;
+  /** Longer than the slow interval between queries to an engine. */
+  private static final long IDLE_NANOS = 3_000_000_000L;
 
   private final EventLoopGroup group;
   private final LoadReportFormat format;
   private final RoundTrips roundTrips;
   private final GatewayMetrics metrics;
   private final GatewayLog log;
-  private final Map<String, Asked> askedById = new HashMap<>();
+  private final Map<String, QueriedEngine> queriedById = new HashMap<>();
 
-  /** An engine that is asked. */
-  private static final class Asked {
+  /** An engine that is queried. */
+  private static final class QueriedEngine {
     private final EngineRecord record;
-    private final PooledHttpClient caller;
-    private boolean underWay;
-    private long askedNanos;
+    private final PooledHttpClient client;
+    private boolean queryInProgress;
+    private long sentNanos;
 
-    Asked(EngineRecord record, PooledHttpClient caller) {
+    QueriedEngine(EngineRecord record, PooledHttpClient client) {
       this.record = record;
-      this.caller = caller;
+      this.client = client;
     }
 
-    boolean at(EngineRecord other) {
+    boolean isAt(EngineRecord other) {
       return record.host().equals(other.host()) && record.port() == other.port();
     }
   }
 
   /**
-   * Creates a port without connections.
+   * Creates a client without connections.
    *
-   * @param format what is asked and answered
-   * @param roundTrips how far engines are
+   * @param format the path and the encoding of reports
+   * @param roundTrips the round trips to engines
    * @param metrics counts the connections that are opened
    */
   public HttpLoadReportClient(
@@ -87,44 +90,47 @@
   }
 
   @Override
-  public void query(Engine engine, Consumer<LoadQueryResult> answer) {
-    Asked asked = askedAt(engine.record());
-    if (asked.underWay) {
+  public void query(Engine engine, Consumer<LoadQueryResult> callback) {
+    QueriedEngine queried = queriedAt(engine.record());
+    if (queried.queryInProgress) {
       group
           .next()
-          .execute(() -> answer.accept(new LoadQueryResult.NoResponse("a question is under way")));
+          .execute(
+              () ->
+                  callback.accept(
+                      new LoadQueryResult.NoResponse("a query is already in progress")));
       return;
     }
-    asked.underWay = true;
-    asked.askedNanos = System.nanoTime();
+    queried.queryInProgress = true;
+    queried.sentNanos = System.nanoTime();
     long timeoutMillis =
-        (long) Math.ceil(roundTrips.millisTo(engine.record().zone())) + ANSWER_MILLIS;
-    asked.caller.call(
+        (long) Math.ceil(roundTrips.millisTo(engine.record().zone())) + RESPONSE_MILLIS;
+    queried.client.call(
         new StoreCall(StoreCall.Method.GET, format.path(), null, timeoutMillis, false),
         reply -> {
-          asked.underWay = false;
-          answer.accept(read(reply, asked.askedNanos));
+          queried.queryInProgress = false;
+          callback.accept(read(reply, queried.sentNanos));
         });
   }
 
-  /** An engine that comes back at another address is called there. */
-  private Asked askedAt(EngineRecord record) {
-    Asked known = askedById.get(record.id());
-    if (known != null && known.at(record)) {
+  /** Returns the state of an engine; an engine whose address has changed gets a new client. */
+  private QueriedEngine queriedAt(EngineRecord record) {
+    QueriedEngine known = queriedById.get(record.id());
+    if (known != null && known.isAt(record)) {
       return known;
     }
     if (known != null) {
-      known.caller.closeIdle();
+      known.client.closeIdle();
     }
     InetSocketAddress address = new InetSocketAddress(record.host(), record.port());
-    PooledHttpClient caller =
+    PooledHttpClient client =
         new PooledHttpClient(group, address, "engine", metrics::engineConnectionOpened, log);
-    Asked asked = new Asked(record, caller);
-    askedById.put(record.id(), asked);
-    return asked;
+    QueriedEngine queried = new QueriedEngine(record, client);
+    queriedById.put(record.id(), queried);
+    return queried;
   }
 
-  private LoadQueryResult read(StoreReply reply, long askedNanos) {
+  private LoadQueryResult read(StoreReply reply, long sentNanos) {
     if (reply instanceof StoreReply.Answered answered) {
       if (answered.status() >= SERVER_ERROR) {
         return new LoadQueryResult.NoResponse("status " + answered.status());
@@ -133,10 +139,10 @@
         return new LoadQueryResult.Unavailable("status " + answered.status());
       }
       Optional<LoadReport> report = format.decode(answered.body());
-      long asOf = askedNanos - format.lagMillis() * NANOS_PER_MILLI;
+      long asOf = sentNanos - format.lagMillis() * NANOS_PER_MILLI;
       return report
-          .<LoadQueryResult>map(told -> new LoadQueryResult.Reported(told, asOf))
-          .orElseGet(() -> new LoadQueryResult.Unavailable("no report"));
+          .<LoadQueryResult>map(decoded -> new LoadQueryResult.Reported(decoded, asOf))
+          .orElseGet(() -> new LoadQueryResult.Unavailable("response holds no usable report"));
     }
     return reply instanceof StoreReply.Lost lost
         ? new LoadQueryResult.NoResponse(lost.reason())
@@ -145,10 +151,10 @@
 
   private void sweep() {
     long now = System.nanoTime();
-    for (Iterator<Asked> all = askedById.values().iterator(); all.hasNext(); ) {
-      Asked asked = all.next();
-      if (!asked.underWay && now - asked.askedNanos >= UNUSED_NANOS) {
-        asked.caller.closeIdle();
+    for (Iterator<QueriedEngine> all = queriedById.values().iterator(); all.hasNext(); ) {
+      QueriedEngine queried = all.next();
+      if (!queried.queryInProgress && now - queried.sentNanos >= IDLE_NANOS) {
+        queried.client.closeIdle();
         all.remove();
       }
     }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/ReadinessServer.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/ReadinessServer.java
@@ -25,8 +25,8 @@
 import org.baykeel.gateway.telemetry.GatewayMetrics;
 
 /**
- * Answers 200 while the process is ready for callers, 503 otherwise, to any request but one for
- * {@value #METRICS_PATH}.
+ * Serves the metrics at {@value #METRICS_PATH}. Any other request gets status 200 while the node is
+ * ready for callers, otherwise 503.
  */
 public final class ReadinessServer {
   private static final int MAX_REQUEST_BYTES = 16_384;
@@ -42,7 +42,7 @@
   }
 
   /**
-   * Begins to listen; may be called on the event loop.
+   * Starts to listen; may be called on the event loop.
    *
    * @return completes when the address is bound, or fails if it cannot be
    */
@@ -65,17 +65,17 @@
         .bind(address);
   }
 
-  /** Answers one connection. */
+  /** Serves one connection. */
   private final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-      boolean askedForMetrics = request.uri().equals(METRICS_PATH);
+      boolean metricsRequested = request.uri().equals(METRICS_PATH);
       boolean isReady = ready.getAsBoolean();
-      byte[] text = askedForMetrics ? metrics.render() : readiness(isReady);
+      byte[] text = metricsRequested ? metrics.render() : readiness(isReady);
       FullHttpResponse response =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1,
-              isReady || askedForMetrics
+              isReady || metricsRequested
                   ? HttpResponseStatus.OK
                   : HttpResponseStatus.SERVICE_UNAVAILABLE,
               Unpooled.wrappedBuffer(text));
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/link/LinkClient.java
@@ -27,38 +27,38 @@
 import org.baykeel.gateway.telemetry.GatewayEvent;
 import org.baykeel.gateway.telemetry.GatewayLog;
 
-/** Asks other nodes, over one connection to each that was asked lately. */
+/** Sends requests to peers over one connection per peer, which is closed when idle. */
 public final class LinkClient implements RelayTransport, HandoverTransport {
   private static final int CONNECT_TIMEOUT_MILLIS = 200;
 
   /**
-   * A little work at a slow node; after it the store is asked. Two ways there and back, as
-   * measured, come on top: one to connect and one to ask.
+   * Time limit for the work of a slow peer; after it the state is read from the store. Two measured
+   * round trips are added: one to connect and one for the request.
    */
-  private static final long HANDOVER_MILLIS = 50;
+  private static final long HANDOVER_WORK_MILLIS = 50;
 
   private static final int HANDOVER_ROUND_TRIPS = 2;
 
   private static final long IDLE_NANOS = 10_000_000_000L;
   private static final long SWEEP_MILLIS = 2_000;
 
-  /** How long a silent connection is left open; longer than any call made through another node. */
-  private static final long ABANDONED_MILLIS = 4_000;
+  /** Delay before a silent connection is closed; longer than the longest relayed store call. */
+  private static final long ABANDONED_CLOSE_DELAY_MILLIS = 4_000;
 
   private final EventLoopGroup group;
-  private final PeerLatency distance;
+  private final PeerLatency latency;
   private final GatewayLog log;
-  private final Map<PeerAddress, Link> links = new HashMap<>();
+  private final Map<PeerAddress, PeerLink> links = new HashMap<>();
 
   /**
    * Creates a client without connections.
    *
    * @param group the event loop
-   * @param distance how far other nodes are
+   * @param latency the round trips to peers
    */
-  public LinkClient(EventLoopGroup group, PeerLatency distance, GatewayLog log) {
+  public LinkClient(EventLoopGroup group, PeerLatency latency, GatewayLog log) {
     this.group = group;
-    this.distance = distance;
+    this.latency = latency;
     this.log = log;
     group
         .next()
@@ -66,100 +66,101 @@
   }
 
   @Override
-  public void call(PeerAddress peer, StoreCall call, Consumer<StoreReply> answer) {
-    link(peer)
-        .ask(
+  public void call(PeerAddress peer, StoreCall call, Consumer<StoreReply> callback) {
+    linkTo(peer)
+        .sendRequest(
             id -> new LinkMessage.StoreRequest(id, call),
             call.timeoutMillis(),
-            outcome -> answer.accept(outcome.storeReply()));
+            outcome -> callback.accept(outcome.storeReply()));
   }
 
   @Override
   public void requestGrant(
-      PeerAddress peer, ProgramId program, Consumer<Optional<GrantTransfer>> answer) {
-    link(peer)
-        .ask(
+      PeerAddress peer, ProgramId program, Consumer<Optional<GrantTransfer>> callback) {
+    linkTo(peer)
+        .sendRequest(
             id -> new LinkMessage.GrantRequest(id, program),
             handoverMillis(peer),
-            outcome -> answer.accept(outcome.transfer()));
+            outcome -> callback.accept(outcome.transfer()));
   }
 
   @Override
-  public void requestTurns(PeerAddress peer, String turnId, Consumer<List<StoredTurn>> answer) {
-    link(peer)
-        .ask(
+  public void requestTurns(PeerAddress peer, String turnId, Consumer<List<StoredTurn>> callback) {
+    linkTo(peer)
+        .sendRequest(
             id -> new LinkMessage.TurnsRequest(id, turnId),
             handoverMillis(peer),
-            outcome -> answer.accept(outcome.turns()));
+            outcome -> callback.accept(outcome.turns()));
   }
 
   private long handoverMillis(PeerAddress peer) {
-    return HANDOVER_MILLIS + HANDOVER_ROUND_TRIPS * distance.roundTripMillis(peer);
+    return HANDOVER_WORK_MILLIS + HANDOVER_ROUND_TRIPS * latency.roundTripMillis(peer);
   }
 
-  private Link link(PeerAddress peer) {
-    return links.computeIfAbsent(peer, Link::new);
+  private PeerLink linkTo(PeerAddress peer) {
+    return links.computeIfAbsent(peer, PeerLink::new);
   }
 
   private void sweep() {
-    links.values().removeIf(Link::closedAfterRest);
+    links.values().removeIf(PeerLink::closeIfIdle);
   }
 
   /**
-   * What became of a request.
+   * The outcome of a request.
    *
-   * @param answer the answer, or null if there was none
-   * @param sent whether the request may have reached the other node
-   * @param reason why there is no answer
+   * @param response the response, or null if there was none
+   * @param sent whether the request may have reached the peer
+   * @param reason why there is no response
    */
-  private record Outcome(LinkMessage answer, boolean sent, String reason) {
+  private record Outcome(LinkMessage response, boolean sent, String reason) {
 
     StoreReply storeReply() {
-      if (answer instanceof LinkMessage.StoreAnswer storeAnswer) {
-        return storeAnswer.reply();
+      if (response instanceof LinkMessage.StoreResponse storeResponse) {
+        return storeResponse.reply();
       }
       return sent ? new StoreReply.Lost(reason) : new StoreReply.NotSent(reason);
     }
 
     Optional<GrantTransfer> transfer() {
-      return answer instanceof LinkMessage.GrantAnswer grantAnswer
-          ? grantAnswer.transfer()
+      return response instanceof LinkMessage.GrantResponse grantResponse
+          ? grantResponse.transfer()
           : Optional.empty();
     }
 
     List<StoredTurn> turns() {
-      return answer instanceof LinkMessage.TurnsAnswer turnsAnswer
-          ? turnsAnswer.turns()
+      return response instanceof LinkMessage.TurnsResponse turnsResponse
+          ? turnsResponse.turns()
           : List.of();
     }
   }
 
-  /** A request that waits for its answer. */
-  private record Waiting(Consumer<Outcome> onOutcome, Future<?> timeout) {}
+  /** A request that has no response yet. */
+  private record PendingRequest(Consumer<Outcome> onOutcome, Future<?> timeout) {}
 
-  /** The connection to one node, made when it is first needed. */
-  private final class Link {
+  /** The connection to one peer, opened by the first request. */
+  private final class PeerLink {
     private final PeerAddress peer;
-    private final Map<Long, Waiting> waiting = new HashMap<>();
+    private final Map<Long, PendingRequest> pending = new HashMap<>();
     private long lastCorrelationId;
-    private long usedNanos = System.nanoTime();
-    private long heardNanos = System.nanoTime();
+    private long lastRequestNanos = System.nanoTime();
+    private long lastReceivedNanos = System.nanoTime();
     private Channel channel;
 
-    Link(PeerAddress peer) {
+    PeerLink(PeerAddress peer) {
       this.peer = peer;
     }
 
-    void ask(LongFunction<LinkMessage> request, long timeoutMillis, Consumer<Outcome> onOutcome) {
-      usedNanos = System.nanoTime();
+    void sendRequest(
+        LongFunction<LinkMessage> request, long timeoutMillis, Consumer<Outcome> onOutcome) {
+      lastRequestNanos = System.nanoTime();
       long id = ++lastCorrelationId;
       Future<?> timeout =
           group
               .next()
               .schedule(() -> onTimeout(id, timeoutMillis), timeoutMillis, TimeUnit.MILLISECONDS);
-      waiting.put(id, new Waiting(onOutcome, timeout));
+      pending.put(id, new PendingRequest(onOutcome, timeout));
       if (channel != null) {
-        channel.writeAndFlush(LinkChannel.frame(request.apply(id)));
+        channel.writeAndFlush(LinkChannel.encodeFrame(request.apply(id)));
       } else {
         connect().addListener(connected -> onConnected(id, request));
       }
@@ -167,9 +168,9 @@
 
     private void onConnected(long id, LongFunction<LinkMessage> request) {
       if (channel == null) {
-        end(id, new Outcome(null, false, "no connection to " + peer));
-      } else if (waiting.containsKey(id)) {
-        channel.writeAndFlush(LinkChannel.frame(request.apply(id)));
+        complete(id, new Outcome(null, false, "no connection to " + peer));
+      } else if (pending.containsKey(id)) {
+        channel.writeAndFlush(LinkChannel.encodeFrame(request.apply(id)));
       }
     }
 
@@ -181,7 +182,7 @@
                     @Override
                     protected void initChannel(SocketChannel opened) {
                       LinkChannel.prepare(
-                          opened.pipeline(), Link.this::onMessage, () -> onClosed(opened));
+                          opened.pipeline(), PeerLink.this::onMessage, () -> onClosed(opened));
                     }
                   })
               .connect(peer.host(), peer.port());
@@ -189,35 +190,36 @@
       return connecting;
     }
 
-    /** Of two connections made at the same time the first one stays. */
+    /** Keeps the first of several connections that were opened concurrently. */
     private void adopt(ChannelFuture connected) {
       if (!connected.isSuccess()) {
         return;
       }
       if (channel == null) {
         channel = connected.channel();
-        heardNanos = System.nanoTime();
+        lastReceivedNanos = System.nanoTime();
       } else {
         connected.channel().close();
       }
     }
 
     private void onMessage(LinkMessage message) {
-      heardNanos = System.nanoTime();
-      end(message.correlationId(), new Outcome(message, true, ""));
+      lastReceivedNanos = System.nanoTime();
+      complete(message.correlationId(), new Outcome(message, true, ""));
     }
 
     private void onTimeout(long id, long timeoutMillis) {
-      long silentMillis = (System.nanoTime() - heardNanos) / 1_000_000;
+      long silentMillis = (System.nanoTime() - lastReceivedNanos) / 1_000_000;
       if (channel != null && silentMillis >= timeoutMillis) {
         abandon(silentMillis);
       }
-      end(id, new Outcome(null, true, "time-out at " + peer));
+      complete(id, new Outcome(null, true, "no response within the time limit from " + peer));
     }
 
     /**
-     * Nothing was heard for the whole time of a request: the connection may have fallen silent for
-     * good, so the next request gets a new one. Others that wait may still be answered on it.
+     * Stops using the connection after nothing was received during the whole time limit of a
+     * request: it may be dead without having been closed, so the next request opens a new one.
+     * Pending requests may still complete on the old connection.
      */
     private void abandon(long silentMillis) {
       log.write(
@@ -229,14 +231,16 @@
           "ms",
           silentMillis,
           "under_way",
-          waiting.size());
+          pending.size());
       Channel silent = channel;
       channel = null;
-      group.next().schedule(() -> silent.close(), ABANDONED_MILLIS, TimeUnit.MILLISECONDS);
+      group
+          .next()
+          .schedule(() -> silent.close(), ABANDONED_CLOSE_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void end(long id, Outcome outcome) {
-      Waiting ended = waiting.remove(id);
+    private void complete(long id, Outcome outcome) {
+      PendingRequest ended = pending.remove(id);
       if (ended != null) {
         ended.timeout().cancel(false);
         ended.onOutcome().accept(outcome);
@@ -248,14 +252,14 @@
         return;
       }
       channel = null;
-      for (Long id : new ArrayList<>(waiting.keySet())) {
-        end(id, new Outcome(null, true, "connection to " + peer + " closed"));
+      for (Long id : new ArrayList<>(pending.keySet())) {
+        complete(id, new Outcome(null, true, "connection to " + peer + " closed"));
       }
     }
 
-    /** Closes the connection if it rests; returns whether it is gone. */
-    boolean closedAfterRest() {
-      if (!waiting.isEmpty() || System.nanoTime() - usedNanos < IDLE_NANOS) {
+    /** Closes the connection if it is idle; returns whether the link can be removed. */
+    boolean closeIfIdle() {
+      if (!pending.isEmpty() || System.nanoTime() - lastRequestNanos < IDLE_NANOS) {
         return false;
       }
       if (channel != null) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/ByteBudget.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/ByteBudget.java
@@ -1,60 +1,63 @@
 package org.baykeel.gateway.peer;
 
 /**
- * Bounds the bytes that one purpose sends to other nodes: a steady rate, and what was not used of
- * it up to a limit. Used only from the event loop.
+ * A token bucket that limits the bytes sent to peers for one purpose. It refills at a steady rate
+ * up to a burst size. Used only from the event loop.
  */
 public final class ByteBudget {
-  /** Bytes that a datagram takes on a link beyond its content: UDP, IP and Ethernet. */
-  private static final int OVERHEAD_BYTES = 46;
+  /** Bytes per datagram of UDP, IP and Ethernet headers. */
+  private static final int HEADER_BYTES = 46;
 
   private static final double NANOS_PER_SECOND = 1e9;
 
   private final double bytesPerNano;
-  private final double maxSavedBytes;
-  private double savedBytes;
-  private long savedAtNanos;
+  private final double burstBytes;
+  private double availableBytes;
+  private long refilledNanos;
 
   /**
-   * Creates a budget with all that it can save.
+   * Creates a budget whose bucket is full.
    *
-   * @param bytesPerSecond the steady rate
-   * @param maxSavedBytes what may be sent at once after a calm time
+   * @param bytesPerSecond the refill rate
+   * @param burstBytes the most bytes that may be sent in one burst
    */
-  public ByteBudget(long bytesPerSecond, long maxSavedBytes, long nowNanos) {
+  public ByteBudget(long bytesPerSecond, long burstBytes, long nowNanos) {
     this.bytesPerNano = bytesPerSecond / NANOS_PER_SECOND;
-    this.maxSavedBytes = maxSavedBytes;
-    this.savedBytes = maxSavedBytes;
-    this.savedAtNanos = nowNanos;
+    this.burstBytes = burstBytes;
+    this.availableBytes = burstBytes;
+    this.refilledNanos = nowNanos;
   }
 
   /**
-   * The bytes that a message takes on a link.
+   * Returns the bytes that a datagram occupies on the wire, headers included.
    *
-   * @param contentBytes the message itself
+   * @param contentBytes the length of the payload
    */
   public static long wireBytes(int contentBytes) {
-    return contentBytes + OVERHEAD_BYTES;
+    return contentBytes + HEADER_BYTES;
   }
 
-  /** Takes bytes if there are as many; else takes none. */
+  /** Takes the bytes if the bucket holds as many; otherwise takes none and returns false. */
   public boolean tryConsume(long bytes, long nowNanos) {
     if (available(nowNanos) < bytes) {
       return false;
     }
-    savedBytes -= bytes;
+    availableBytes -= bytes;
     return true;
   }
 
-  /** Takes bytes also if there are not as many; what is missing must be saved first. */
+  /**
+   * Takes the bytes unconditionally; the bucket may become negative and then refills from there.
+   */
   public void consume(long bytes, long nowNanos) {
-    savedBytes = available(nowNanos) - bytes;
+    availableBytes = available(nowNanos) - bytes;
   }
 
-  /** The bytes that may be sent now; negative after spending more than there were. */
+  /** Returns the bytes that may be sent now; negative if more was consumed than was available. */
   public double available(long nowNanos) {
-    savedBytes = Math.min(maxSavedBytes, savedBytes + (nowNanos - savedAtNanos) * bytesPerNano);
-    savedAtNanos = nowNanos;
-    return savedBytes;
+    availableBytes =
+        Math.min(burstBytes, availableBytes + (nowNanos - refilledNanos) * bytesPerNano);
+    refilledNanos = nowNanos;
+    return availableBytes;
   }
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineSuspicionNotifier.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineSuspicionNotifier.java
@@ -9,13 +9,16 @@
 import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
- * Tells the other nodes when an engine becomes suspect, so that not every node loses requests
- * there. The word of another node counts for a short time, and only for requests that may run only
- * once: a node that alone can't reach an engine takes no more than that from the rest.
+ * Notifies the peers in this node's region when an engine becomes suspect here, and applies the
+ * notices of other nodes, so that not every node has to lose requests at a failed engine.
+ *
+ * <p>A notice of another node has effect for a short time and only on requests that may run at most
+ * once. If only the sender cannot reach the engine, that is all the harm its notice can do. Notices
+ * are not forwarded.
  */
 public final class EngineSuspicionNotifier implements EngineSuspicionListener, PeerMessageListener {
   private static final long BYTES_PER_SECOND = 8_192;
-  private static final long MAX_SAVED_BYTES = 40_960;
+  private static final long BURST_BYTES = 40_960;
 
   private final EngineDirectory engines;
   private final PeerDirectory peers;
@@ -25,7 +28,7 @@
   private final GatewayLog log;
   private final ByteBudget budget;
 
-  /** Creates a gossip that has to be told of suspicions and given datagrams. */
+  /** Creates a notifier; the caller registers it for engine suspicions and for peer messages. */
   public EngineSuspicionNotifier(
       EngineDirectory engines,
       PeerDirectory peers,
@@ -39,7 +42,7 @@
     this.codec = codec;
     this.eventLoop = eventLoop;
     this.log = log;
-    this.budget = new ByteBudget(BYTES_PER_SECOND, MAX_SAVED_BYTES, eventLoop.nanoTime());
+    this.budget = new ByteBudget(BYTES_PER_SECOND, BURST_BYTES, eventLoop.nanoTime());
   }
 
   @Override
@@ -55,11 +58,11 @@
   @Override
   public void onMessage(PeerAddress sender, PeerMessage message) {
     if (message instanceof PeerMessage.EngineSuspicion suspicion) {
-      onSuspicionElsewhere(sender, suspicion.engineId());
+      onPeerSuspicion(sender, suspicion.engineId());
     }
   }
 
-  private void onSuspicionElsewhere(PeerAddress sender, EngineId engineId) {
+  private void onPeerSuspicion(PeerAddress sender, EngineId engineId) {
     Engine engine = engines.find(engineId);
     if (engine == null) {
       return;
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestEngineConnection.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestEngineConnection.java
@@ -58,8 +58,8 @@
     return directory.ofService("s").get(0);
   }
 
-  /** Sends a request and returns how it ended: the body, or the failure. */
-  private String ask(Engine engine, String id) throws Exception {
+  /** Sends a request and returns its outcome: status and body, or the failure. */
+  private String sendAndAwait(Engine engine, String id) throws Exception {
     HttpHeaders headers = new DefaultHttpHeaders();
     headers.set("Host", "h");
     headers.set(TestingTranslator.ID, id);
@@ -100,113 +100,116 @@
                     new EngineRequest(source, new byte[3], 1, Caller.WITHOUT_KEYS, -1, -1),
                     listener));
     String result = end.get(20, TimeUnit.SECONDS);
-    // The connection is given back after the read that completed the answer.
+    // The connection returns to the pool after the read that completed the response.
     group.next().submit(() -> {}).get();
     return result;
   }
 
   @ParameterizedTest(name = "{0}")
   @CsvSource({
-    "whole, HTTP/1.1 200 OK|X-Id: r1|Content-Length: 4||body, KEEP, 200 body",
+    "complete, HTTP/1.1 200 OK|X-Id: r1|Content-Length: 4||body, KEEP, 200 body",
     "chunked, HTTP/1.1 200 OK|X-Id: r1|Transfer-Encoding: chunked||4|body|0||, KEEP, 200 body",
-    "cut in its length, HTTP/1.1 200 OK|X-Id: r1|Content-Length: 9||body, CLOSE, BROKEN",
-    "cut in its chunks, HTTP/1.1 200 OK|X-Id: r1|Transfer-Encoding: chunked||4|body|, CLOSE, BROKEN",
-    "ends with its connection, HTTP/1.1 200 OK|X-Id: r1||body, CLOSE, 200 body",
+    "truncated in its content length, HTTP/1.1 200 OK|X-Id: r1|Content-Length: 9||body, CLOSE, BROKEN",
+    "truncated in its chunks, HTTP/1.1 200 OK|X-Id: r1|Transfer-Encoding: chunked||4|body|, CLOSE, BROKEN",
+    "delimited by the end of the connection, HTTP/1.1 200 OK|X-Id: r1||body, CLOSE, 200 body",
     "without length and reset, HTTP/1.1 200 OK|X-Id: r1||body, RESET, BROKEN",
-    "no answer, '', CLOSE, BROKEN",
-    "not an answer, GARBAGE||, CLOSE, BROKEN",
-    "after an interim answer, HTTP/1.1 100 Continue||HTTP/1.1 200 OK|X-Id: r1|Content-Length: 2||ok, KEEP, 200 ok",
-    "after another's answer, HTTP/1.1 200 OK|X-Id: zz|Content-Length: 2||noHTTP/1.1 200 OK|X-Id: r1|Content-Length: 2||ok, KEEP, 200 ok",
-    "only another's answer, HTTP/1.1 200 OK|X-Id: zz|Content-Length: 2||no, CLOSE, BROKEN",
+    "no response, '', CLOSE, BROKEN",
+    "not HTTP, GARBAGE||, CLOSE, BROKEN",
+    "after an interim response, HTTP/1.1 100 Continue||HTTP/1.1 200 OK|X-Id: r1|Content-Length: 2||ok, KEEP, 200 ok",
+    "after a response to another request, HTTP/1.1 200 OK|X-Id: zz|Content-Length: 2||noHTTP/1.1 200 OK|X-Id: r1|Content-Length: 2||ok, KEEP, 200 ok",
+    "only a response to another request, HTTP/1.1 200 OK|X-Id: zz|Content-Length: 2||no, CLOSE, BROKEN",
   })
-  void anAnswerIsWholeOrBroken(String name, String bytes, After after, String outcome)
+  void aResponseEndsCompleteOrBroken(String name, String bytes, After after, String outcome)
       throws Exception {
     String wire = bytes.replace("|", "\r\n");
     try (ScriptedEngine engine = new ScriptedEngine(new Response(wire, after))) {
-      assertEquals(outcome, ask(engineAt(engine.port()), "r1"));
+      assertEquals(outcome, sendAndAwait(engineAt(engine.port()), "r1"));
     }
   }
 
   @Test
-  void aConnectionServesAgainAfterAWholeAnswer() throws Exception {
+  void reusesAConnectionAfterACompleteResponse() throws Exception {
     try (ScriptedEngine engine =
         new ScriptedEngine(new Response(OWN, After.KEEP), new Response(SECOND, After.KEEP))) {
       Engine target = engineAt(engine.port());
-      ask(target, "r1");
-      assertEquals("200 body", ask(target, "r2"));
+      sendAndAwait(target, "r1");
+      assertEquals("200 body", sendAndAwait(target, "r2"));
       assertEquals(1, engine.connections());
     }
   }
 
   @Test
-  void bytesBehindAWholeAnswerBelongToNobody() throws Exception {
+  void discardsAConnectionWithBytesAfterACompleteResponse() throws Exception {
     try (ScriptedEngine engine =
         new ScriptedEngine(
             new Response(OWN + FOREIGN, After.KEEP), new Response(SECOND, After.KEEP))) {
       Engine target = engineAt(engine.port());
-      assertEquals("200 body", ask(target, "r1"));
-      assertEquals("200 body", ask(target, "r2"));
+      assertEquals("200 body", sendAndAwait(target, "r1"));
+      assertEquals("200 body", sendAndAwait(target, "r2"));
     }
   }
 
   @Test
-  void aLateAnswerInTheNextOnesPlaceIsSkipped() throws Exception {
+  void skipsALateResponseToAnotherRequest() throws Exception {
     try (ScriptedEngine engine =
         new ScriptedEngine(
             new Response(OWN, After.KEEP),
             new Response(OWN + SECOND, After.KEEP),
             new Response(OWN.replace("r1", "r3"), After.KEEP))) {
       Engine target = engineAt(engine.port());
-      ask(target, "r1");
-      assertEquals("200 body", ask(target, "r2"));
-      assertEquals("200 body", ask(target, "r3"));
-      assertEquals(2, engine.connections(), "a connection with a stray answer is not used again");
+      sendAndAwait(target, "r1");
+      assertEquals("200 body", sendAndAwait(target, "r2"));
+      assertEquals("200 body", sendAndAwait(target, "r3"));
+      assertEquals(
+          2,
+          engine.connections(),
+          "a connection with a response to another request must not be reused");
     }
   }
 
   @Test
-  void aConnectionThatTheEngineWantsClosedIsNotUsedAgain() throws Exception {
+  void doesNotReuseAConnectionThatTheEngineWantsClosed() throws Exception {
     String closing = OWN.replace("X-Id", "Connection: close\r\nX-Id");
     try (ScriptedEngine engine =
         new ScriptedEngine(new Response(closing, After.KEEP), new Response(SECOND, After.KEEP))) {
       Engine target = engineAt(engine.port());
-      ask(target, "r1");
-      ask(target, "r2");
+      sendAndAwait(target, "r1");
+      sendAndAwait(target, "r2");
       assertEquals(2, engine.connections());
     }
   }
 
   @Test
-  void aConnectionToAFormerLifeOfAnEngineIsNotUsedForTheNextOneAndIsClosed() throws Exception {
+  void closesConnectionsToAnEarlierIncarnationAndDoesNotReuseThem() throws Exception {
     try (ScriptedEngine engine =
         new ScriptedEngine(
             new Response(OWN, After.KEEP),
             new Response(SECOND, After.KEEP),
             new Response(OWN.replace("r1", "r3"), After.KEEP))) {
       EngineDirectory directory = new EngineDirectory(1);
-      directory.put(bornAt(engine.port(), 1_000));
+      directory.put(startedAt(engine.port(), 1_000));
       Engine former = directory.ofService("s").get(0);
-      assertEquals("200 body", ask(former, "r1"));
-      directory.put(bornAt(engine.port(), 2_000));
+      assertEquals("200 body", sendAndAwait(former, "r1"));
+      directory.put(startedAt(engine.port(), 2_000));
       Engine present = directory.ofService("s").get(0);
-      assertEquals("200 body", ask(present, "r2"));
+      assertEquals("200 body", sendAndAwait(present, "r2"));
       assertEquals(2, engine.connections());
       engine.awaitOpen(1);
-      assertEquals("200 body", ask(present, "r3"));
+      assertEquals("200 body", sendAndAwait(present, "r3"));
       assertEquals(2, engine.connections());
     }
   }
 
-  private static EngineRecord bornAt(int port, long bornMillis) {
-    return new EngineRecord("e", "s", "127.0.0.1", port, "z", 4, false, 0, bornMillis);
+  private static EngineRecord startedAt(int port, long startMillis) {
+    return new EngineRecord("e", "s", "127.0.0.1", port, "z", 4, false, 0, startMillis);
   }
 
   @Test
-  void aRefusedConnectionMeansThatNothingWasSent() throws Exception {
+  void reportsNotSentIfTheConnectionIsRefused() throws Exception {
     int port;
     try (ScriptedEngine engine = new ScriptedEngine(new Response(OWN, After.KEEP))) {
       port = engine.port();
     }
-    assertEquals("NOT_SENT", ask(engineAt(port), "r1"));
+    assertEquals("NOT_SENT", sendAndAwait(engineAt(port), "r1"));
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSilentConnections.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSilentConnections.java
@@ -44,7 +44,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Open connections fall silent for good, without being closed, while new ones work. */
+/**
+ * Guards against the reuse of dead connections. A proxy stops forwarding on the connections that
+ * are open, without closing them, while new connections work.
+ */
 class TestSilentConnections {
   private static final ScriptedEngine.Response ANSWER =
       new ScriptedEngine.Response(
@@ -62,7 +65,7 @@
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
   }
 
-  /** A request to an engine under way. */
+  /** A request that was sent to an engine. */
   private static final class Sent implements EngineTransport.Listener {
     private final CompletableFuture<String> end = new CompletableFuture<>();
     private final CompletableFuture<EngineTransport.Exchange> exchange = new CompletableFuture<>();
@@ -101,7 +104,7 @@
   }
 
   @Test
-  void anEnginesOtherKeptConnectionsAreNotTrustedEither() throws Exception {
+  void closesTheIdleConnectionsToAnEngineAfterOneStayedSilent() throws Exception {
     try (ScriptedEngine server = new ScriptedEngine(ANSWER);
         SilencingProxy proxy = new SilencingProxy(server.port())) {
       EngineDirectory directory = new EngineDirectory(1);
@@ -128,33 +131,34 @@
     }
   }
 
-  private StoreReply call(PooledHttpClient caller, long timeoutMillis) throws Exception {
-    return begin(caller, timeoutMillis).get(20, TimeUnit.SECONDS);
+  private StoreReply call(PooledHttpClient storeClient, long timeoutMillis) throws Exception {
+    return callAsync(storeClient, timeoutMillis).get(20, TimeUnit.SECONDS);
   }
 
-  private CompletableFuture<StoreReply> begin(PooledHttpClient caller, long timeoutMillis) {
+  private CompletableFuture<StoreReply> callAsync(
+      PooledHttpClient storeClient, long timeoutMillis) {
     CompletableFuture<StoreReply> reply = new CompletableFuture<>();
     StoreCall call = new StoreCall(StoreCall.Method.GET, "/x", null, timeoutMillis, false);
-    group.next().execute(() -> caller.call(call, reply::complete));
+    group.next().execute(() -> storeClient.call(call, reply::complete));
     return reply;
   }
 
   @Test
-  void theStoresOtherKeptConnectionsAreNotTrustedEither() throws Exception {
+  void closesTheIdleConnectionsToTheStoreAfterOneStayedSilent() throws Exception {
     try (ScriptedEngine server = new ScriptedEngine(ANSWER);
         SilencingProxy proxy = new SilencingProxy(server.port())) {
-      PooledHttpClient caller =
+      PooledHttpClient storeClient =
           new PooledHttpClient(
               group,
               new InetSocketAddress("127.0.0.1", proxy.port()),
               (event, fields) -> events.add(event));
-      CompletableFuture<StoreReply> first = begin(caller, 5_000);
-      CompletableFuture<StoreReply> second = begin(caller, 5_000);
+      CompletableFuture<StoreReply> first = callAsync(storeClient, 5_000);
+      CompletableFuture<StoreReply> second = callAsync(storeClient, 5_000);
       assertInstanceOf(StoreReply.Answered.class, first.get(20, TimeUnit.SECONDS));
       assertInstanceOf(StoreReply.Answered.class, second.get(20, TimeUnit.SECONDS));
       proxy.silence();
-      assertInstanceOf(StoreReply.Lost.class, call(caller, 300));
-      assertInstanceOf(StoreReply.Answered.class, call(caller, 5_000));
+      assertInstanceOf(StoreReply.Lost.class, call(storeClient, 300));
+      assertInstanceOf(StoreReply.Answered.class, call(storeClient, 5_000));
       assertEquals(List.of(GatewayEvent.CONNECTION_SILENT), events);
     }
   }
@@ -162,8 +166,8 @@
   private static final LinkServices SERVICES =
       new LinkServices() {
         @Override
-        public void callStore(StoreCall call, Consumer<StoreReply> answer) {
-          answer.accept(new StoreReply.Answered(200, new byte[0]));
+        public void callStore(StoreCall call, Consumer<StoreReply> callback) {
+          callback.accept(new StoreReply.Answered(200, new byte[0]));
         }
 
         @Override
@@ -185,11 +189,11 @@
   }
 
   @Test
-  void aLinkThatFellSilentIsMadeAnew() throws Exception {
+  void replacesASilentConnectionToAPeer() throws Exception {
     InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
     var bound = new LinkServer(SERVICES).listen(group, any).syncUninterruptibly();
     int port = ((InetSocketAddress) bound.channel().localAddress()).getPort();
-    // Long enough for a busy machine to answer in.
+    // Long enough for a response on a busy machine.
     PeerLatency distance = peer -> 1_000;
     LinkClient client = new LinkClient(group, distance, (event, fields) -> events.add(event));
     try (SilencingProxy proxy = new SilencingProxy(port)) {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSlowCallers.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSlowCallers.java
@@ -29,22 +29,25 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Callers on loopback that stop reading, before an engine that answers as fast as it is read. */
+/**
+ * Checks that callers on loopback that stop reading do not make the node buffer without limit. The
+ * engine writes its response as fast as the node reads it.
+ */
 class TestSlowCallers {
   private static final long CALL_BYTES = 256 << 10;
   private static final int EVENT_BYTES = 1_024;
   private static final int EVENTS = 32 << 10;
   private static final long ANSWER_BYTES = (long) EVENT_BYTES * EVENTS;
 
-  /** More than the sockets on the way hold by themselves, less than a half of the answer. */
+  /** More than the buffers of all sockets in between hold, at most half of the response. */
   private static final long SOCKETS_BYTES = 16 << 20;
 
-  /** What one read of an engine's connection may bring beyond the bound. */
+  /** The bytes beyond the limit that one read of an engine's connection may add. */
   private static final long ONE_READ_BYTES = 1 << 20;
 
-  private static final int PATIENCE_MILLIS = 60_000;
+  private static final int TIMEOUT_MILLIS = 60_000;
   private static final RequestLimits LIMITS =
-      new RequestLimits(2_000, 100, PATIENCE_MILLIS, PATIENCE_MILLIS);
+      new RequestLimits(2_000, 100, TIMEOUT_MILLIS, TIMEOUT_MILLIS);
   private static final String REQUEST =
       "POST /p/x HTTP/1.1\r\nHost: h\r\nX-Id: r1\r\nContent-Length: 0\r\n\r\n";
 
@@ -74,7 +77,7 @@
             "h",
             "/p/",
             kind,
-            PATIENCE_MILLIS,
+            TIMEOUT_MILLIS,
             100,
             300,
             0,
@@ -91,12 +94,12 @@
         () -> {
           while (true) {
             Socket socket = engine.accept();
-            inBackground(() -> answer(socket, kind));
+            inBackground(() -> respond(socket, kind));
           }
         });
   }
 
-  /** Runs until it fails, which it does once the test ends. */
+  /** Runs a task that fails once the test closes its socket. */
   private static void inBackground(Callable<Void> task) {
     Thread thread =
         new Thread(
@@ -104,14 +107,14 @@
               try {
                 task.call();
               } catch (Exception e) {
-                // Its socket was closed.
+                // The socket was closed.
               }
             });
     thread.setDaemon(true);
     thread.start();
   }
 
-  private Void answer(Socket socket, RouteKind kind) throws IOException {
+  private Void respond(Socket socket, RouteKind kind) throws IOException {
     try (socket) {
       readHead(socket.getInputStream());
       OutputStream out = socket.getOutputStream();
@@ -156,21 +159,21 @@
     Socket socket = new Socket();
     callers.add(socket);
     socket.setReceiveBufferSize(256 << 10);
-    socket.setSoTimeout(PATIENCE_MILLIS);
+    socket.setSoTimeout(TIMEOUT_MILLIS);
     socket.connect(new InetSocketAddress("127.0.0.1", gateway.port()));
     socket.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
     return socket;
   }
 
   private static void await(Callable<Boolean> condition) throws Exception {
-    long end = System.nanoTime() + PATIENCE_MILLIS * 1_000_000L;
+    long end = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
     while (!condition.call()) {
-      assertTrue(System.nanoTime() - end < 0, "not within " + PATIENCE_MILLIS + " ms");
+      assertTrue(System.nanoTime() - end < 0, "not within " + TIMEOUT_MILLIS + " ms");
       Thread.sleep(20);
     }
   }
 
-  /** Reads a body in chunks or of the length in its head. */
+  /** Reads a chunked body, or one of the expected length. */
   private static byte[] readBody(Socket socket, String head) throws IOException {
     InputStream in = new BufferedInputStream(socket.getInputStream(), 1 << 16);
     if (!head.toLowerCase(Locale.ROOT).contains("transfer-encoding: chunked")) {
@@ -214,7 +217,7 @@
     }
   }
 
-  private void awaitStandstill() throws Exception {
+  private void awaitPausedEngine() throws Exception {
     await(() -> gateway.paused() > 0);
     long before = -1;
     while (before != engineWrote.get()) {
@@ -224,10 +227,10 @@
   }
 
   @Test
-  void anEngineIsReadNoFasterThanItsCallerReads() throws Exception {
+  void readsAnEngineNoFasterThanItsCallerReads() throws Exception {
     start(RouteKind.STREAMING, HeldBytesLimiter.Bounds.DEFAULT);
     Socket caller = call();
-    awaitStandstill();
+    awaitPausedEngine();
     long held = gateway.heldBytes();
     assertTrue(held >= CALL_BYTES && held < CALL_BYTES + ONE_READ_BYTES, "held " + held);
     assertTrue(engineWrote.get() < SOCKETS_BYTES, "engine wrote " + engineWrote);
@@ -237,7 +240,7 @@
   }
 
   @Test
-  void anAnswerThatIsWholeIsDeliveredLateAfterItsEngineIsDone() throws Exception {
+  void deliversACompleteResponseAfterItsEngineHasFinished() throws Exception {
     start(RouteKind.UNSAFE, new HeldBytesLimiter.Bounds(CALL_BYTES, 8 << 20, 5_000));
     Socket caller = call();
     await(() -> engineWrote.get() == ANSWER_BYTES);
@@ -256,7 +259,7 @@
   }
 
   @Test
-  void aPlannedStopWaitsForWhatIsNotReadYet() throws Exception {
+  void aPlannedStopWaitsForUnreadResponses() throws Exception {
     start(RouteKind.UNSAFE, HeldBytesLimiter.Bounds.DEFAULT);
     Socket caller = call();
     await(() -> gateway.heldBytes() > CALL_BYTES);
@@ -267,16 +270,16 @@
   }
 
   @Test
-  void callersThatReadNothingGiveWayWhenTheNodeHoldsItsBound() throws Exception {
+  void disconnectsCallersThatReadNothingWhenTheNodeIsAtItsLimit() throws Exception {
     start(RouteKind.STREAMING, new HeldBytesLimiter.Bounds(64 << 10, 160 << 10, 3_000));
     Socket first = call();
-    awaitStandstill();
+    awaitPausedEngine();
     assertEquals(List.of(), gateway.events());
     call();
     call();
     await(() -> gateway.events().contains(GatewayEvent.CALLER_TOO_SLOW));
     await(() -> gateway.heldBytes() < 160 << 10);
-    // Who reads is served meanwhile.
+    // A caller that reads is served in the meantime.
     Socket reader = call();
     assertWhole(readBody(reader, readHead(reader.getInputStream())));
     assertTrue(first.isConnected());
