--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/FailoverStoreClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/remote/FailoverStoreClient.java
@@ -80,7 +80,7 @@
    */
   public void callDirectly(StoreCall call, Consumer<StoreReply> callback) {
     if (!directPath.working()) {
-      callback.accept(new StoreReply.NotSent("no path to the store"));
+      callback.accept(new StoreReply.NotSent("no way to the store"));
       return;
     }
     long sentNanos = eventLoop.nanoTime();
@@ -157,7 +157,7 @@
     private boolean done;
     private boolean directOutstanding;
     private int outstanding;
-    private StoreReply failure = new StoreReply.NotSent("no path to the store");
+    private StoreReply failure = new StoreReply.NotSent("no way to the store");
 
     PendingCall(StoreCall call, Consumer<StoreReply> callback) {
       this.call = call;
