--- a/baykeel-cli/src/main/java/org/baykeel/cli/BaykeelCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/BaykeelCommand.java
@@ -40,16 +40,16 @@
   }
 
   static int run(String[] arguments) throws IOException, InterruptedException {
-    int words = wordsOfCommand(arguments);
-    if (words == 0) {
+    int wordCount = commandWordCount(arguments);
+    if (wordCount == 0) {
       System.err.println("usage: baykeel COMMAND [options]; --help after a command explains it");
       System.err.println("commands: " + String.join(", ", COMMANDS.keySet()));
       return ExitCode.USAGE;
     }
-    String name = String.join(" ", Arrays.copyOf(arguments, words));
+    String name = String.join(" ", Arrays.copyOf(arguments, wordCount));
     Command command = COMMANDS.get(name).get();
     CmdLineParser parser = new CmdLineParser(command);
-    String[] rest = Arrays.copyOfRange(arguments, words, arguments.length);
+    String[] rest = Arrays.copyOfRange(arguments, wordCount, arguments.length);
     if (Arrays.asList(rest).contains("--help")) {
       System.out.println("baykeel " + name);
       parser.printUsage(System.out);
@@ -66,10 +66,10 @@
   }
 
   /** How many of the first words name a command; zero if none does. */
-  private static int wordsOfCommand(String[] arguments) {
-    for (int words = Math.min(2, arguments.length); words > 0; words--) {
-      if (COMMANDS.containsKey(String.join(" ", Arrays.copyOf(arguments, words)))) {
-        return words;
+  private static int commandWordCount(String[] arguments) {
+    for (int wordCount = Math.min(2, arguments.length); wordCount > 0; wordCount--) {
+      if (COMMANDS.containsKey(String.join(" ", Arrays.copyOf(arguments, wordCount)))) {
+        return wordCount;
       }
     }
     return 0;
--- a/baykeel-cli/src/main/java/org/baykeel/cli/BenchHollowCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/BenchHollowCommand.java
@@ -18,11 +18,11 @@
   private long seed = 1;
 
   @Option(name = "--steady", usage = "stop after the steady state")
-  private boolean steady;
+  private boolean steadyOnly;
 
   @Override
   public int run() {
-    new HollowRun(nodes, engines, shards, seed, System.out).run(!steady);
+    new HollowRun(nodes, engines, shards, seed, System.out).run(!steadyOnly);
     return ExitCode.OK;
   }
 }
--- a/baykeel-cli/src/main/java/org/baykeel/cli/ConfirmCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/ConfirmCommand.java
@@ -7,17 +7,17 @@
 import org.kohsuke.args4j.Argument;
 
 /** Applies exactly one plan. Confirming the same plan again tells whether it was accepted. */
-final class ConfirmCommand extends NodeOptions {
+final class ConfirmCommand extends OperatorCommand {
   @Argument(metaVar = "PLAN", required = true, usage = "file written by baykeel plan")
   private Path planFile;
 
   @Override
   public int run() throws IOException {
-    OperatorClient.Answer answer = client().post("/operator/confirm", Files.readString(planFile));
-    if (!answer.isSuccess()) {
-      return refused(answer);
+    OperatorClient.Answer response = client().post("/operator/confirm", Files.readString(planFile));
+    if (!response.isSuccess()) {
+      return reportFailure(response);
     }
-    System.out.println(answer.body());
+    System.out.println(response.body());
     return ExitCode.OK;
   }
 }
--- a/baykeel-cli/src/main/java/org/baykeel/cli/DrainCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/DrainCommand.java
@@ -11,7 +11,7 @@
  * Drains an engine at once: plans and confirms the configuration in force with the engine marked as
  * draining. The declarations in version control should say the same afterwards.
  */
-final class DrainCommand extends NodeOptions {
+final class DrainCommand extends OperatorCommand {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   @Argument(metaVar = "ENGINE", required = true, usage = "name of the engine")
@@ -20,24 +20,24 @@
   @Override
   public int run() throws IOException {
     OperatorClient client = client();
-    OperatorClient.Answer present = client.get("/operator/configuration");
-    if (!present.isSuccess()) {
-      return refused(present);
+    OperatorClient.Answer current = client.get("/operator/configuration");
+    if (!current.isSuccess()) {
+      return reportFailure(current);
     }
-    JsonNode document = MAPPER.readTree(MAPPER.readTree(present.body()).path("document").asText());
+    JsonNode document = MAPPER.readTree(MAPPER.readTree(current.body()).path("document").asText());
     if (!markDraining(document)) {
       System.err.println("no engine '" + engine + "' is declared");
       return ExitCode.FAILED;
     }
     OperatorClient.Answer plan = client.post("/operator/plan", document.toString());
     if (!plan.isSuccess()) {
-      return refused(plan);
+      return reportFailure(plan);
     }
-    OperatorClient.Answer accepted = client.post("/operator/confirm", plan.body());
-    if (!accepted.isSuccess()) {
-      return refused(accepted);
+    OperatorClient.Answer confirmation = client.post("/operator/confirm", plan.body());
+    if (!confirmation.isSuccess()) {
+      return reportFailure(confirmation);
     }
-    System.out.println(accepted.body());
+    System.out.println(confirmation.body());
     return ExitCode.OK;
   }
 
--- a/baykeel-cli/src/main/java/org/baykeel/cli/EmulatorCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/EmulatorCommand.java
@@ -17,7 +17,7 @@
   public int run() throws IOException, InterruptedException {
     EmulatorSettings.Result result =
         EmulatorSettings.read(file.getFileName().toString(), Files.readString(file));
-    SettingsFiles.print(result.problems());
+    SettingsFiles.printProblems(result.problems());
     if (!result.problems().isEmpty()) {
       return ExitCode.INVALID_FILE;
     }
--- a/baykeel-cli/src/main/java/org/baykeel/cli/ExplainCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/ExplainCommand.java
@@ -14,7 +14,7 @@
  */
 final class ExplainCommand implements Command {
   @Option(name = "--ledger", usage = "what programs lost and why, in place of one story")
-  private boolean ledger;
+  private boolean printLossSummary;
 
   @Argument(
       metaVar = "[ID] FILE...",
@@ -25,16 +25,16 @@
 
   @Override
   public int run() throws IOException {
-    int firstFile = ledger ? 0 : 1;
+    int firstFile = printLossSummary ? 0 : 1;
     List<String> lines = new ArrayList<>();
     for (String file : arguments.subList(firstFile, arguments.size())) {
       lines.addAll(Files.readAllLines(Path.of(file)));
     }
-    if (ledger) {
-      ProgramLedger.of(lines.stream()).forEach(System.out::println);
+    if (printLossSummary) {
+      ProgramLossSummary.of(lines.stream()).forEach(System.out::println);
       return ExitCode.OK;
     }
-    List<String> story = LogStory.of(arguments.get(0), lines.stream());
+    List<String> story = LogExcerpt.of(arguments.get(0), lines.stream());
     if (story.isEmpty()) {
       System.err.println("no line tells of " + arguments.get(0));
       return ExitCode.FAILED;
--- a/baykeel-cli/src/main/java/org/baykeel/cli/LogStory.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/LogExcerpt.java
@@ -9,8 +9,8 @@
  * The lines of the gateway's log that tell the story of one request or program: its own, and what
  * the nodes that served it learnt about their dependencies around that time.
  */
-final class LogStory {
-  private static final long CONTEXT_MILLIS = 3_000;
+final class LogExcerpt {
+  private static final long CONTEXT_WINDOW_MILLIS = 3_000;
   private static final Set<String> CONTEXT_EVENTS =
       Set.of(
           "GATEWAY_STARTED",
@@ -40,7 +40,7 @@
           "LINES_DROPPED",
           "FAULT");
 
-  private LogStory() {}
+  private LogExcerpt() {}
 
   /**
    * The story of a request, a session or a program.
@@ -51,20 +51,21 @@
    */
   static List<String> of(String id, Stream<String> log) {
     List<LogLine> lines = log.flatMap(text -> LogLine.parse(text).stream()).toList();
-    List<LogLine> own = lines.stream().filter(line -> line.tellsOf(id)).toList();
+    List<LogLine> matchingLines = lines.stream().filter(line -> line.hasFieldValue(id)).toList();
     return lines.stream()
-        .filter(line -> line.tellsOf(id) || isContext(line, own))
-        .sorted(Comparator.comparingLong(LogLine::millis))
+        .filter(line -> line.hasFieldValue(id) || isContext(line, matchingLines))
+        .sorted(Comparator.comparingLong(LogLine::timestampMillis))
         .map(LogLine::text)
         .toList();
   }
 
-  private static boolean isContext(LogLine line, List<LogLine> own) {
-    return CONTEXT_EVENTS.contains(line.name())
-        && own.stream()
+  private static boolean isContext(LogLine line, List<LogLine> matchingLines) {
+    return CONTEXT_EVENTS.contains(line.eventName())
+        && matchingLines.stream()
             .anyMatch(
-                other ->
-                    other.node().equals(line.node())
-                        && Math.abs(other.millis() - line.millis()) <= CONTEXT_MILLIS);
+                matching ->
+                    matching.node().equals(line.node())
+                        && Math.abs(matching.timestampMillis() - line.timestampMillis())
+                            <= CONTEXT_WINDOW_MILLIS);
   }
 }
--- a/baykeel-cli/src/main/java/org/baykeel/cli/LogLine.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/LogLine.java
@@ -9,13 +9,14 @@
 /**
  * One line of the gateway's log.
  *
- * @param millis when it was written, by its node's clock of the day
- * @param name the name of its event
+ * @param timestampMillis when it was written, by its node's clock of the day
+ * @param eventName the name of its event
  * @param node the node that wrote it
  * @param text the whole line
  * @param fields the pairs behind the node's name
  */
-record LogLine(long millis, String name, String node, String text, Map<String, String> fields) {
+record LogLine(
+    long timestampMillis, String eventName, String node, String text, Map<String, String> fields) {
   private static final Pattern LINE =
       Pattern.compile("t=(\\d+) event=\\d+ name=(\\S+) node=(\\S+)(.*)");
   private static final Pattern FIELD = Pattern.compile(" (\\w+)=(\"[^\"]*\"|\\S+)");
@@ -60,7 +61,7 @@
   }
 
   /** Whether any field of the line has this value. */
-  boolean tellsOf(String id) {
+  boolean hasFieldValue(String id) {
     return (text + " ").contains("=" + id + " ");
   }
 }
--- a/baykeel-cli/src/main/java/org/baykeel/cli/LossCause.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/LossCause.java
@@ -54,7 +54,7 @@
     }
 
     @Override
-    boolean usual() {
+    boolean hasBaseline() {
       return false;
     }
   },
@@ -69,7 +69,7 @@
     }
 
     @Override
-    boolean usual() {
+    boolean hasBaseline() {
       return false;
     }
   },
@@ -88,7 +88,7 @@
   abstract long millis(LogLine call);
 
   /** Whether calls of programs in time have a share of this, so that only the excess is a loss. */
-  boolean usual() {
+  boolean hasBaseline() {
     return true;
   }
 
--- a/baykeel-cli/src/main/java/org/baykeel/cli/NodeOptions.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/OperatorCommand.java
@@ -4,7 +4,7 @@
 import org.kohsuke.args4j.Option;
 
 /** The options of every command that talks to a node. */
-abstract class NodeOptions implements Command {
+abstract class OperatorCommand implements Command {
   @Option(name = "--node", metaVar = "IP:PORT", usage = "HTTP address of any node")
   private String node = "127.0.0.1:8080";
 
@@ -18,13 +18,13 @@
     return new OperatorClient(node, key);
   }
 
-  boolean wantsJson() {
+  boolean isJsonOutput() {
     return output.equals("json");
   }
 
   /** Prints what a node refused and returns the exit code. */
-  static int refused(OperatorClient.Answer answer) {
-    System.err.println(answer.body());
-    return answer.status() == 0 ? ExitCode.UNREACHABLE : ExitCode.FAILED;
+  static int reportFailure(OperatorClient.Answer response) {
+    System.err.println(response.body());
+    return response.status() == 0 ? ExitCode.UNREACHABLE : ExitCode.FAILED;
   }
 }
--- a/baykeel-cli/src/main/java/org/baykeel/cli/PlanCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/PlanCommand.java
@@ -11,7 +11,7 @@
 import org.kohsuke.args4j.Option;
 
 /** Shows what a directory of declarations would change, and writes the plan to a file. */
-final class PlanCommand extends NodeOptions {
+final class PlanCommand extends OperatorCommand {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   @Option(name = "-f", metaVar = "DIR", required = true, usage = "directory of declarations")
@@ -27,15 +27,15 @@
       return ExitCode.INVALID_FILE;
     }
     String document = DeclarationCodec.encode(declarations).text();
-    OperatorClient.Answer answer = client().post("/operator/plan", document);
-    if (!answer.isSuccess()) {
-      return refused(answer);
+    OperatorClient.Answer response = client().post("/operator/plan", document);
+    if (!response.isSuccess()) {
+      return reportFailure(response);
     }
-    Files.writeString(planFile, answer.body());
-    if (wantsJson()) {
-      System.out.println(answer.body());
+    Files.writeString(planFile, response.body());
+    if (isJsonOutput()) {
+      System.out.println(response.body());
     } else {
-      print(MAPPER.readTree(answer.body()));
+      print(MAPPER.readTree(response.body()));
     }
     return ExitCode.OK;
   }
--- a/baykeel-cli/src/main/java/org/baykeel/cli/ProgramLedger.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/ProgramLossSummary.java
@@ -15,15 +15,15 @@
  * late or with a failure, with the cause that took most time beyond what is usual; totals by the
  * second in which programs began and by cause; and what the nodes used, by purpose.
  */
-final class ProgramLedger {
-  private static final String USAGE = "USAGE";
-  private static final Set<String> ENDS = Set.of("CALL_ENDED", "CALL_REFUSED");
-  private static final Set<String> NO_ROOM_OUTCOMES =
+final class ProgramLossSummary {
+  private static final String USAGE_EVENT = "USAGE";
+  private static final Set<String> CALL_END_EVENTS = Set.of("CALL_ENDED", "CALL_REFUSED");
+  private static final Set<String> NO_CAPACITY_OUTCOMES =
       Set.of("refused: no room", "refused: too little time left");
   private static final int FIRST_FAILURE_STATUS = 300;
   private static final long MILLIS_PER_SECOND = 1_000;
-  private static final long BUDGET_SPENT = 402;
-  private static final long UNKNOWN_TURN = 404;
+  private static final long BUDGET_SPENT_STATUS = 402;
+  private static final long UNKNOWN_TURN_STATUS = 404;
 
   /** How a program ended, as far as the log tells. */
   enum Loss {
@@ -50,20 +50,20 @@
    */
   private record Row(String program, List<LogLine> calls, Loss loss) {}
 
-  private final Map<LossCause, Double> usualMillis = new EnumMap<>(LossCause.class);
+  private final Map<LossCause, Double> baselineMillis = new EnumMap<>(LossCause.class);
   private final List<Row> rows = new ArrayList<>();
 
   /** What the nodes used in all, by their own words for it. */
-  private final Map<String, Long> usage = new TreeMap<>();
+  private final Map<String, Long> usageTotals = new TreeMap<>();
 
-  private long firstMillis = Long.MAX_VALUE;
+  private long logStartMillis = Long.MAX_VALUE;
 
-  private ProgramLedger(Stream<String> log) {
+  private ProgramLossSummary(Stream<String> log) {
     Map<String, List<LogLine>> byProgram = new TreeMap<>();
     log.flatMap(text -> LogLine.parse(text).stream()).forEach(line -> collect(line, byProgram));
     byProgram.forEach((program, calls) -> rows.add(row(program, calls)));
     for (LossCause cause : LossCause.values()) {
-      usualMillis.put(cause, usual(cause));
+      baselineMillis.put(cause, baselineMillisOf(cause));
     }
   }
 
@@ -74,14 +74,16 @@
    * @return its lines: a row for each program with a loss, then the totals
    */
   static List<String> of(Stream<String> log) {
-    return new ProgramLedger(log).lines();
+    return new ProgramLossSummary(log).lines();
   }
 
   private void collect(LogLine line, Map<String, List<LogLine>> byProgram) {
-    firstMillis = Math.min(firstMillis, line.millis());
-    if (line.name().equals(USAGE)) {
-      line.fields().keySet().forEach(what -> usage.merge(what, line.number(what), Long::sum));
-    } else if (ENDS.contains(line.name())) {
+    logStartMillis = Math.min(logStartMillis, line.timestampMillis());
+    if (line.eventName().equals(USAGE_EVENT)) {
+      line.fields()
+          .keySet()
+          .forEach(purpose -> usageTotals.merge(purpose, line.number(purpose), Long::sum));
+    } else if (CALL_END_EVENTS.contains(line.eventName())) {
       line.field("program")
           .ifPresent(
               program ->
@@ -90,38 +92,38 @@
   }
 
   private static Row row(String program, List<LogLine> calls) {
-    calls.sort(Comparator.comparingLong(LogLine::millis));
+    calls.sort(Comparator.comparingLong(LogLine::timestampMillis));
     return new Row(program, calls, loss(calls));
   }
 
   private static Loss loss(List<LogLine> calls) {
     long lastStatus = calls.get(calls.size() - 1).number("status");
-    if (lastStatus == BUDGET_SPENT) {
+    if (lastStatus == BUDGET_SPENT_STATUS) {
       return Loss.BUDGET;
     }
-    if (lastStatus == UNKNOWN_TURN) {
+    if (lastStatus == UNKNOWN_TURN_STATUS) {
       return Loss.UNKNOWN_TURN;
     }
-    if (calls.stream().allMatch(ProgramLedger::refusedForRoom)) {
+    if (calls.stream().allMatch(ProgramLossSummary::refusedForCapacity)) {
       return Loss.NO_ROOM;
     }
     if (lastStatus <= 0 || lastStatus >= FIRST_FAILURE_STATUS) {
       return Loss.FAILED;
     }
-    return calls.stream().anyMatch(ProgramLedger::pastItsTime) ? Loss.LATE : Loss.NONE;
+    return calls.stream().anyMatch(ProgramLossSummary::exceedsFinishTime) ? Loss.LATE : Loss.NONE;
   }
 
-  private static boolean refusedForRoom(LogLine call) {
-    return call.field("outcome").filter(NO_ROOM_OUTCOMES::contains).isPresent();
+  private static boolean refusedForCapacity(LogLine call) {
+    return call.field("outcome").filter(NO_CAPACITY_OUTCOMES::contains).isPresent();
   }
 
-  private static boolean pastItsTime(LogLine call) {
-    long left = call.number("finish_ms");
-    return left >= 0 && call.number("ms") > left;
+  private static boolean exceedsFinishTime(LogLine call) {
+    long remainingMillis = call.number("finish_ms");
+    return remainingMillis >= 0 && call.number("ms") > remainingMillis;
   }
 
-  private double usual(LossCause cause) {
-    if (!cause.usual()) {
+  private double baselineMillisOf(LossCause cause) {
+    if (!cause.hasBaseline()) {
       return 0;
     }
     long[] sorted =
@@ -144,69 +146,70 @@
         totals.merge("in time", 1, Integer::sum);
         continue;
       }
-      Finding finding = finding(row);
-      totals.merge(row.loss() + " " + finding.cause(), 1, Integer::sum);
-      bySecond.merge(whenAndWhat(row), 1, Integer::sum);
-      lines.add(describe(row, finding));
+      MainCause mainCause = mainCause(row);
+      totals.merge(row.loss() + " " + mainCause.cause(), 1, Integer::sum);
+      bySecond.merge(startSecondAndLoss(row), 1, Integer::sum);
+      lines.add(formatRow(row, mainCause));
     }
-    bySecond.forEach((what, count) -> lines.add("begun in second " + what + ": " + count));
-    totals.forEach((what, count) -> lines.add("total " + what + ": " + count));
-    usage.forEach((what, count) -> lines.add("used " + what + ": " + count));
+    bySecond.forEach((label, count) -> lines.add("begun in second " + label + ": " + count));
+    totals.forEach((label, count) -> lines.add("total " + label + ": " + count));
+    usageTotals.forEach((label, count) -> lines.add("used " + label + ": " + count));
     return lines;
   }
 
   /** The second of the log in which a program's first call came, its route and its loss. */
-  private String whenAndWhat(Row row) {
+  private String startSecondAndLoss(Row row) {
     LogLine first = row.calls().get(0);
-    long begunMillis = first.millis() - Math.max(0, first.number("ms"));
-    long second = Math.max(0, begunMillis - firstMillis) / MILLIS_PER_SECOND;
+    long startMillis = first.timestampMillis() - Math.max(0, first.number("ms"));
+    long second = Math.max(0, startMillis - logStartMillis) / MILLIS_PER_SECOND;
     return String.format("%4d %s %s", second, first.field("route").orElse("none"), row.loss());
   }
 
   /** What explains a program's loss best. */
-  private record Finding(LossCause cause, double millis, LogLine worst) {}
+  private record MainCause(LossCause cause, double millis, LogLine worstCall) {}
 
-  private Finding finding(Row row) {
-    Finding best = betweenCalls(row);
+  private MainCause mainCause(Row row) {
+    MainCause largest = longestGap(row);
     for (LossCause cause : LossCause.values()) {
       double excess = 0;
       Optional<LogLine> worst = Optional.empty();
       for (LogLine call : row.calls()) {
-        excess += Math.max(0, cause.millis(call) - usualMillis.get(cause));
+        excess += Math.max(0, cause.millis(call) - baselineMillis.get(cause));
         if (worst.isEmpty() || cause.millis(call) > cause.millis(worst.get())) {
           worst = Optional.of(call);
         }
       }
-      if (excess > best.millis()) {
-        best = new Finding(cause, excess, worst.orElseThrow());
+      if (excess > largest.millis()) {
+        largest = new MainCause(cause, excess, worst.orElseThrow());
       }
     }
-    return best;
+    return largest;
   }
 
-  private static Finding betweenCalls(Row row) {
-    long longest = 0;
-    LogLine before = row.calls().get(row.calls().size() - 1);
+  private static MainCause longestGap(Row row) {
+    long longestMillis = 0;
+    LogLine precedingCall = row.calls().get(row.calls().size() - 1);
     for (int i = 0; i + 1 < row.calls().size(); i++) {
       LogLine next = row.calls().get(i + 1);
-      long gap = next.millis() - next.number("ms") - row.calls().get(i).millis();
-      if (gap > longest) {
-        longest = gap;
-        before = row.calls().get(i);
+      long gapMillis =
+          next.timestampMillis() - next.number("ms") - row.calls().get(i).timestampMillis();
+      if (gapMillis > longestMillis) {
+        longestMillis = gapMillis;
+        precedingCall = row.calls().get(i);
       }
     }
-    return new Finding(LossCause.BETWEEN_CALLS, longest, before);
+    return new MainCause(LossCause.BETWEEN_CALLS, longestMillis, precedingCall);
   }
 
-  private static String describe(Row row, Finding finding) {
-    LogLine worst = finding.worst();
+  private static String formatRow(Row row, MainCause mainCause) {
+    LogLine worst = mainCause.worstCall();
     return String.join(
         " ",
         row.program(),
         String.valueOf(row.calls().size()),
         row.loss().toString(),
-        finding.cause().toString(),
-        String.valueOf(Math.round(finding.millis())),
+        mainCause.cause().toString(),
+        String.valueOf(Math.round(mainCause.millis())),
         worst.field("id").orElse("none"),
         worst.node(),
         worst.field("status").orElse("none"),
--- a/baykeel-cli/src/main/java/org/baykeel/cli/SettingsFiles.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/SettingsFiles.java
@@ -21,7 +21,7 @@
   static ProcessSettings readNode(Path file) throws IOException {
     ProcessSettingsReader.Result result =
         ProcessSettingsReader.read(file.getFileName().toString(), Files.readString(file));
-    print(result.problems());
+    printProblems(result.problems());
     return result.problems().isEmpty() ? result.settings() : null;
   }
 
@@ -34,11 +34,11 @@
       }
     }
     DeclarationReader.Result result = DeclarationReader.read(files);
-    print(result.problems());
+    printProblems(result.problems());
     return result.problems().isEmpty() ? result.declarations() : null;
   }
 
-  static void print(List<YamlProblem> problems) {
+  static void printProblems(List<YamlProblem> problems) {
     problems.forEach(System.err::println);
   }
 }
--- a/baykeel-cli/src/main/java/org/baykeel/cli/ShowCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/ShowCommand.java
@@ -6,7 +6,7 @@
 import org.baykeel.bench.client.OperatorClient;
 
 /** Shows one of the operators' views, as a table or as JSON. */
-final class ShowCommand extends NodeOptions {
+final class ShowCommand extends OperatorCommand {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   private final String path;
@@ -17,15 +17,15 @@
 
   @Override
   public int run() throws IOException {
-    OperatorClient.Answer answer = client().get(path);
-    if (!answer.isSuccess()) {
-      return refused(answer);
+    OperatorClient.Answer response = client().get(path);
+    if (!response.isSuccess()) {
+      return reportFailure(response);
     }
-    if (wantsJson()) {
-      System.out.println(answer.body());
+    if (isJsonOutput()) {
+      System.out.println(response.body());
       return ExitCode.OK;
     }
-    JsonNode root = MAPPER.readTree(answer.body());
+    JsonNode root = MAPPER.readTree(response.body());
     System.out.print(TextTable.of(root));
     return ExitCode.OK;
   }
--- a/baykeel-cli/src/main/java/org/baykeel/cli/SimulateCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/SimulateCommand.java
@@ -22,13 +22,13 @@
   private int engines = 4;
 
   @Option(name = "--from", usage = "first seed")
-  private long from = 1;
+  private long firstSeed = 1;
 
   @Option(name = "--count", usage = "number of seeds")
-  private int count = 100;
+  private int seedCount = 100;
 
   @Option(name = "--shrink", usage = "shrink the first failing schedules, this many")
-  private int shrink = 1;
+  private int shrinkLimit = 1;
 
   @Option(name = "--schedule", metaVar = "FILE", usage = "run one schedule and print its log")
   private Path scheduleFile;
@@ -36,11 +36,11 @@
   @Override
   public int run() throws IOException {
     if (scheduleFile != null) {
-      return runOne(FaultSchedule.parse(Files.readString(scheduleFile).strip()));
+      return runSchedule(FaultSchedule.parse(Files.readString(scheduleFile).strip()));
     }
     LongAdder steps = new LongAdder();
     Map<Long, String> failures = new ConcurrentSkipListMap<>();
-    LongStream.range(from, from + count)
+    LongStream.range(firstSeed, firstSeed + seedCount)
         .parallel()
         .forEach(
             seed -> {
@@ -53,10 +53,10 @@
             });
     new TreeMap<>(failures)
         .forEach((seed, text) -> System.out.println("seed " + seed + ": " + text));
-    failures.keySet().stream().limit(shrink).forEach(this::printShrunk);
+    failures.keySet().stream().limit(shrinkLimit).forEach(this::printShrunk);
     System.out.printf(
         "simulate: nodes=%d schedules=%d steps=%d failing=%d%n",
-        nodes, count, steps.sum(), failures.size());
+        nodes, seedCount, steps.sum(), failures.size());
     return failures.isEmpty() ? ExitCode.OK : ExitCode.FAILED;
   }
 
@@ -64,7 +64,7 @@
     return new Simulation(nodes, engines, schedule, keepLog).run();
   }
 
-  private int runOne(FaultSchedule schedule) {
+  private int runSchedule(FaultSchedule schedule) {
     Simulation.Result result = simulate(schedule, true);
     result.log().forEach(System.out::println);
     result.violations().forEach(System.out::println);
--- a/baykeel-cli/src/main/java/org/baykeel/cli/StopCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/StopCommand.java
@@ -4,14 +4,14 @@
 import org.baykeel.bench.client.OperatorClient;
 
 /** Begins the planned stop of a node. */
-final class StopCommand extends NodeOptions {
+final class StopCommand extends OperatorCommand {
   @Override
   public int run() throws IOException {
-    OperatorClient.Answer answer = client().post("/operator/stop", "");
-    if (!answer.isSuccess()) {
-      return refused(answer);
+    OperatorClient.Answer response = client().post("/operator/stop", "");
+    if (!response.isSuccess()) {
+      return reportFailure(response);
     }
-    System.out.println(answer.body());
+    System.out.println(response.body());
     return ExitCode.OK;
   }
 }
--- a/baykeel-cli/src/test/java/org/baykeel/cli/TestProgramLedger.java
+++ b/baykeel-cli/src/test/java/org/baykeel/cli/TestProgramLossSummary.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class TestProgramLedger {
-  private static final String USUAL =
+class TestProgramLossSummary {
+  private static final String TYPICAL_MODEL_CALL =
       "status=200 outcome=streamed ms=200 first_ms=60 finish_ms=3000 grant_ms=5 history_ms=5"
           + " keep_ms=10 sends=1";
 
-  private static final String USUAL_TOOL =
+  private static final String TYPICAL_TOOL_CALL =
       "status=200 outcome=answered ms=50 first_ms=-1 finish_ms=3000 grant_ms=0 history_ms=0"
           + " keep_ms=0 sends=1";
 
@@ -29,11 +29,11 @@
         + fields;
   }
 
-  private static List<String> usualPrograms() {
+  private static List<String> typicalPrograms() {
     List<String> lines = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      lines.add(call(1_000 + i, "usual" + i, "t" + i, USUAL_TOOL));
-      lines.add(call(1_300 + i, "usual" + i, "u" + i, USUAL));
+      lines.add(call(1_000 + i, "usual" + i, "t" + i, TYPICAL_TOOL_CALL));
+      lines.add(call(1_300 + i, "usual" + i, "u" + i, TYPICAL_MODEL_CALL));
     }
     return lines;
   }
@@ -61,34 +61,34 @@
         "status=404 ms=9 first_ms=-1 finish_ms=500 grant_ms=0 history_ms=3 keep_ms=0 sends=0"
             + "|UNKNOWN_TURN REFUSAL",
       })
-  void aLossGetsTheCauseThatTookMostBeyondTheUsual(String fields, String expected) {
-    List<String> log = usualPrograms();
+  void attributesALossToTheCauseWithTheLargestExcess(String fields, String expected) {
+    List<String> log = typicalPrograms();
     log.add(call(5_000, "p", "r1", fields));
-    List<String> ledger = ProgramLedger.of(log.stream());
-    String row = ledger.stream().filter(line -> line.startsWith("p ")).findFirst().orElseThrow();
+    List<String> summary = ProgramLossSummary.of(log.stream());
+    String row = summary.stream().filter(line -> line.startsWith("p ")).findFirst().orElseThrow();
     assertTrue(row.startsWith("p 1 " + expected + " "), row);
-    assertTrue(ledger.contains("total in time: 20"), ledger::toString);
-    assertTrue(ledger.contains("total " + expected + ": 1"), ledger::toString);
+    assertTrue(summary.contains("total in time: 20"), summary::toString);
+    assertTrue(summary.contains("total " + expected + ": 1"), summary::toString);
   }
 
   @Test
-  void aProgramThatWaitedForANodeLostItsTimeBetweenCalls() {
-    List<String> log = usualPrograms();
-    log.add(call(5_000, "p", "r1", USUAL));
-    log.add(call(9_000, "p", "r2", USUAL.replace("finish_ms=3000", "finish_ms=100")));
-    List<String> ledger = ProgramLedger.of(log.stream());
-    assertTrue(ledger.contains("total LATE BETWEEN_CALLS: 1"), ledger::toString);
+  void attributesALongGapBetweenCallsToBetweenCalls() {
+    List<String> log = typicalPrograms();
+    log.add(call(5_000, "p", "r1", TYPICAL_MODEL_CALL));
+    log.add(call(9_000, "p", "r2", TYPICAL_MODEL_CALL.replace("finish_ms=3000", "finish_ms=100")));
+    List<String> summary = ProgramLossSummary.of(log.stream());
+    assertTrue(summary.contains("total LATE BETWEEN_CALLS: 1"), summary::toString);
   }
 
   @Test
-  void callsOfNoProgramAreLeftOut() {
+  void ignoresCallsWithoutAProgram() {
     List<String> log = List.of(call(1, "null", "r1", "status=404 ms=1 sends=0"), "not a line");
-    assertEquals(1, ProgramLedger.of(log.stream()).size());
+    assertEquals(1, ProgramLossSummary.of(log.stream()).size());
   }
 
   @Test
-  void tellsWhenLostProgramsBeganAndWhatWasUsed() {
-    List<String> lines = usualPrograms();
+  void reportsStartSecondsOfLostProgramsAndUsage() {
+    List<String> lines = typicalPrograms();
     lines.add(
         call(
             8_900,
@@ -98,9 +98,9 @@
                 + " keep_ms=0 sends=1"));
     lines.add("t=9000 event=341 name=USAGE node=n1 watch_op=3 engine_connections=2");
     lines.add("t=9100 event=341 name=USAGE node=n2 watch_op=4 create_budget=1");
-    List<String> ledger = ProgramLedger.of(lines.stream());
-    assertTrue(ledger.contains("begun in second    7 r7 FAILED: 1"), ledger.toString());
-    assertTrue(ledger.contains("used watch_op: 7"), ledger.toString());
-    assertTrue(ledger.contains("used engine_connections: 2"), ledger.toString());
+    List<String> summary = ProgramLossSummary.of(lines.stream());
+    assertTrue(summary.contains("begun in second    7 r7 FAILED: 1"), summary.toString());
+    assertTrue(summary.contains("used watch_op: 7"), summary.toString());
+    assertTrue(summary.contains("used engine_connections: 2"), summary.toString());
   }
 }
