--- a/baykeel-cli/src/main/java/org/baykeel/cli/BaykeelCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/BaykeelCommand.java
@@ -34,7 +34,7 @@
 
   private BaykeelCommand() {}
 
-  /** Runs a subcommand and ends the process with its exit code. */
+  /** Runs a subcommand and exits the process with its exit code. */
   public static void main(String[] arguments) throws IOException, InterruptedException {
     System.exit(run(arguments));
   }
@@ -42,7 +42,8 @@
   static int run(String[] arguments) throws IOException, InterruptedException {
     int wordCount = commandWordCount(arguments);
     if (wordCount == 0) {
-      System.err.println("usage: baykeel COMMAND [options]; --help after a command explains it");
+      System.err.println(
+          "usage: baykeel COMMAND [options]; use COMMAND --help for the options of a command");
       System.err.println("commands: " + String.join(", ", COMMANDS.keySet()));
       return ExitCode.USAGE;
     }
@@ -65,7 +66,7 @@
     return command.run();
   }
 
-  /** How many of the first words name a command; zero if none does. */
+  /** Returns the number of leading arguments that name a command, or 0 if they name none. */
   private static int commandWordCount(String[] arguments) {
     for (int wordCount = Math.min(2, arguments.length); wordCount > 0; wordCount--) {
       if (COMMANDS.containsKey(String.join(" ", Arrays.copyOf(arguments, wordCount)))) {
--- a/baykeel-cli/src/main/java/org/baykeel/cli/BenchHollowCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/BenchHollowCommand.java
@@ -3,7 +3,10 @@
 import org.baykeel.bench.hollow.HollowRun;
 import org.kohsuke.args4j.Option;
 
-/** Runs hundreds of hollow nodes in one process and prints the figures beside the limits. */
+/**
+ * Runs a fleet of hollow nodes in one process and prints the measured figures of its control plane
+ * next to their limits.
+ */
 final class BenchHollowCommand implements Command {
   @Option(name = "--nodes", usage = "number of nodes")
   private int nodes = 400;
@@ -14,10 +17,12 @@
   @Option(name = "--shards", usage = "number of shards")
   private int shards = 1_024;
 
-  @Option(name = "--seed", usage = "seed of the run")
+  @Option(name = "--seed", usage = "seed of the random numbers")
   private long seed = 1;
 
-  @Option(name = "--steady", usage = "stop after the steady state")
+  @Option(
+      name = "--steady",
+      usage = "stop after measuring the steady state, without injecting failures")
   private boolean steadyOnly;
 
   @Override
--- a/baykeel-cli/src/main/java/org/baykeel/cli/BenchPathCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/BenchPathCommand.java
@@ -4,7 +4,7 @@
 import org.baykeel.bench.measure.PathCost;
 import org.baykeel.bench.measure.ProgramMemory;
 
-/** Measures what the path through the nodes costs. */
+/** Measures the latency that a node adds to a call, its throughput, and its memory per program. */
 final class BenchPathCommand implements Command {
   @Override
   public int run() throws IOException, InterruptedException {
--- a/baykeel-cli/src/main/java/org/baykeel/cli/CheckSettingsCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/CheckSettingsCommand.java
@@ -6,12 +6,14 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Checks the settings file of a node, or of the process on the users' platform. */
+/** Validates the settings file of a node, or of the node process on the users' platform. */
 final class CheckSettingsCommand implements Command {
-  @Argument(metaVar = "FILE", required = true, usage = "settings file of a node")
+  @Argument(metaVar = "FILE", required = true, usage = "settings file to check")
   private Path file;
 
-  @Option(name = "--platform", usage = "the file is that of the process on the users' platform")
+  @Option(
+      name = "--platform",
+      usage = "treat FILE as the settings file of the node process on the users' platform")
   private boolean platform;
 
   @Override
--- a/baykeel-cli/src/main/java/org/baykeel/cli/Command.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/Command.java
@@ -2,12 +2,12 @@
 
 import java.io.IOException;
 
-/** One subcommand. */
+/** A subcommand of {@code bin/baykeel}. */
 interface Command {
   /**
    * Runs the subcommand.
    *
-   * @return the process's exit code
+   * @return the exit code of the process, see {@link ExitCode}
    */
   int run() throws IOException, InterruptedException;
 }
--- a/baykeel-cli/src/main/java/org/baykeel/cli/ConfirmCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/ConfirmCommand.java
@@ -6,7 +6,7 @@
 import org.baykeel.bench.client.OperatorClient;
 import org.kohsuke.args4j.Argument;
 
-/** Applies exactly one plan. Confirming the same plan again tells whether it was accepted. */
+/** Applies one plan. Confirming the same plan again reports whether it has been accepted. */
 final class ConfirmCommand extends OperatorCommand {
   @Argument(metaVar = "PLAN", required = true, usage = "file written by baykeel plan")
   private Path planFile;
--- a/baykeel-cli/src/main/java/org/baykeel/cli/DemoCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/DemoCommand.java
@@ -8,28 +8,28 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Starts a deployment on this machine, replays its trace and checks the promises. */
+/** Starts a deployment on this machine, replays its trace and checks the guarantees. */
 final class DemoCommand implements Command {
   @Argument(metaVar = "NAME", required = true, usage = "association or freight")
   private String name;
 
-  @Option(name = "--hold", usage = "keep everything up and print what to try")
+  @Option(name = "--hold", usage = "keep the processes running and print example requests")
   private boolean hold;
 
-  @Option(name = "--fault", usage = "what is done to the processes during the replay")
+  @Option(name = "--fault", usage = "fault to inject during the replay")
   private DemoFault fault = DemoFault.NONE;
 
   @Override
   public int run() throws IOException, InterruptedException {
     Deployment deployment = Deployment.named(name);
     if (deployment == null) {
-      System.err.println("'" + name + "': allowed: association, freight");
+      System.err.println("'" + name + "': unknown demo; allowed: association, freight");
       return ExitCode.USAGE;
     }
     return new Demo(deployment, launcher(), System.out, fault).run(hold);
   }
 
-  /** The command that runs this program again. */
+  /** Returns the command line that starts this program in a new process; arguments follow it. */
   static List<String> launcher() {
     String java = ProcessHandle.current().info().command().orElse("java");
     return List.of(
--- a/baykeel-cli/src/main/java/org/baykeel/cli/DrainCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/DrainCommand.java
@@ -8,8 +8,9 @@
 import org.kohsuke.args4j.Argument;
 
 /**
- * Drains an engine at once: plans and confirms the configuration in force with the engine marked as
- * draining. The declarations in version control should say the same afterwards.
+ * Drains an engine at once: plans and confirms the current configuration with the state of the
+ * engine changed to {@code DRAINING}. The declarations in version control are not changed; they
+ * should be updated to the same state afterwards.
  */
 final class DrainCommand extends OperatorCommand {
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -26,7 +27,7 @@
     }
     JsonNode document = MAPPER.readTree(MAPPER.readTree(current.body()).path("document").asText());
     if (!markDraining(document)) {
-      System.err.println("no engine '" + engine + "' is declared");
+      System.err.println("no engine '" + engine + "' in the current configuration");
       return ExitCode.FAILED;
     }
     OperatorClient.Answer plan = client.post("/operator/plan", document.toString());
--- a/baykeel-cli/src/main/java/org/baykeel/cli/EmulatorCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/EmulatorCommand.java
@@ -8,9 +8,9 @@
 import org.baykeel.emulator.EmulatorSettings;
 import org.kohsuke.args4j.Argument;
 
-/** Runs stand-ins of the platform and the back ends, for demos and tests. */
+/** Runs emulators of the platform and the back ends, for demos and tests, until it is killed. */
 final class EmulatorCommand implements Command {
-  @Argument(metaVar = "FILE", required = true, usage = "settings file of the stand-ins")
+  @Argument(metaVar = "FILE", required = true, usage = "settings file of the emulator")
   private Path file;
 
   @Override
--- a/baykeel-cli/src/main/java/org/baykeel/cli/ExitCode.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/ExitCode.java
@@ -4,16 +4,16 @@
 final class ExitCode {
   static final int OK = 0;
 
-  /** The command ran and its result is a failure, such as a refused plan. */
+  /** The command ran but failed, for example because a node refused a plan. */
   static final int FAILED = 1;
 
-  /** The words of the command are off. */
+  /** The command line is invalid: an unknown command, option or argument. */
   static final int USAGE = 2;
 
-  /** A file has errors. */
+  /** A settings file or a declaration file has errors. */
   static final int INVALID_FILE = 3;
 
-  /** No node answered. */
+  /** The node did not respond. */
   static final int UNREACHABLE = 4;
 
   private ExitCode() {}
--- a/baykeel-cli/src/main/java/org/baykeel/cli/ExplainCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/ExplainCommand.java
@@ -9,17 +9,19 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * Prints the story of one request, session or program from log files of any nodes, or the ledger of
- * what all programs lost.
+ * Prints the log lines that concern one request, session or program, from log files of any nodes,
+ * or a summary of all programs that ended late or failed.
  */
 final class ExplainCommand implements Command {
-  @Option(name = "--ledger", usage = "what programs lost and why, in place of one story")
+  @Option(
+      name = "--ledger",
+      usage = "summarize the programs that ended late or failed, with causes")
   private boolean printLossSummary;
 
   @Argument(
       metaVar = "[ID] FILE...",
       required = true,
-      usage = "request, session or program (not with --ledger), then log files",
+      usage = "id of a request, session or program (not with --ledger), then log files",
       multiValued = true)
   private List<String> arguments = new ArrayList<>();
 
@@ -34,12 +36,12 @@
       ProgramLossSummary.of(lines.stream()).forEach(System.out::println);
       return ExitCode.OK;
     }
-    List<String> story = LogExcerpt.of(arguments.get(0), lines.stream());
-    if (story.isEmpty()) {
-      System.err.println("no line tells of " + arguments.get(0));
+    List<String> excerpt = LogExcerpt.of(arguments.get(0), lines.stream());
+    if (excerpt.isEmpty()) {
+      System.err.println("no log line mentions " + arguments.get(0));
       return ExitCode.FAILED;
     }
-    story.forEach(System.out::println);
+    excerpt.forEach(System.out::println);
     return ExitCode.OK;
   }
 }
--- a/baykeel-cli/src/main/java/org/baykeel/cli/LogExcerpt.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/LogExcerpt.java
@@ -6,8 +6,9 @@
 import java.util.stream.Stream;
 
 /**
- * The lines of the gateway's log that tell the story of one request or program: its own, and what
- * the nodes that served it learnt about their dependencies around that time.
+ * Selects the lines of the gateway's log that concern one request, session or program: the lines
+ * that contain its identifier, and the context events (changes of a node's own state, of its store,
+ * configuration or engines) that the same nodes logged within 3 s of one of these lines.
  */
 final class LogExcerpt {
   private static final long CONTEXT_WINDOW_MILLIS = 3_000;
@@ -43,11 +44,11 @@
   private LogExcerpt() {}
 
   /**
-   * The story of a request, a session or a program.
+   * Selects the lines of a request, a session or a program.
    *
-   * @param id its identifier
+   * @param id identifier of the request, session or program
    * @param log lines of any nodes, in any order
-   * @return lines in order of time; empty if none tells of it
+   * @return lines ordered by timestamp; empty if no line contains the identifier
    */
   static List<String> of(String id, Stream<String> log) {
     List<LogLine> lines = log.flatMap(text -> LogLine.parse(text).stream()).toList();
--- a/baykeel-cli/src/main/java/org/baykeel/cli/LogLine.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/LogLine.java
@@ -7,13 +7,14 @@
 import java.util.regex.Pattern;
 
 /**
- * One line of the gateway's log.
+ * A parsed line of the gateway's log.
  *
- * @param timestampMillis when it was written, by its node's clock of the day
- * @param eventName the name of its event
- * @param node the node that wrote it
- * @param text the whole line
- * @param fields the pairs behind the node's name
+ * @param timestampMillis when the line was written, in milliseconds since the epoch by the clock of
+ *     its node
+ * @param eventName name of the event
+ * @param node name of the node that wrote the line
+ * @param text the line from its timestamp on
+ * @param fields the fields after the node's name, by key
  */
 record LogLine(
     long timestampMillis, String eventName, String node, String text, Map<String, String> fields) {
@@ -26,7 +27,7 @@
     fields = Map.copyOf(fields);
   }
 
-  /** Reads a line; whatever stands before its time is left out. */
+  /** Parses a line. Text before its timestamp is ignored; empty if the line has another format. */
   static Optional<LogLine> parse(String text) {
     Matcher matcher = LINE.matcher(text);
     if (!matcher.find()) {
@@ -46,12 +47,12 @@
             fields));
   }
 
-  /** A field's text, if it was written and is not absent. */
+  /** Returns the value of a field, or empty if the field is missing or logged as {@code null}. */
   Optional<String> field(String key) {
     return Optional.ofNullable(fields.get(key)).filter(value -> !value.equals(ABSENT));
   }
 
-  /** A field's number; -1 if there is none. */
+  /** Returns the value of a numeric field, or -1 if it is missing or not a number. */
   long number(String key) {
     try {
       return Long.parseLong(fields.getOrDefault(key, "-1"));
@@ -60,7 +61,7 @@
     }
   }
 
-  /** Whether any field of the line has this value. */
+  /** Returns whether any field of the line has this value, written without quotes. */
   boolean hasFieldValue(String id) {
     return (text + " ").contains("=" + id + " ");
   }
--- a/baykeel-cli/src/main/java/org/baykeel/cli/LossCause.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/LossCause.java
@@ -1,8 +1,8 @@
 package org.baykeel.cli;
 
-/** Where a call's time went, as far as its log line tells. */
+/** A part of the duration of a call, derived from the fields of its log line. */
 enum LossCause {
-  /** The store's decision on its tokens. */
+  /** Waiting for the store to decide on the token reservation. */
   GRANT {
     @Override
     long millis(LogLine call) {
@@ -10,7 +10,7 @@
     }
   },
 
-  /** The turns that it continues, and the store's word that its own turn is kept. */
+  /** Loading the turns that the call continues, and storing its own turn. */
   HISTORY {
     @Override
     long millis(LogLine call) {
@@ -18,7 +18,7 @@
     }
   },
 
-  /** Its engine's first event: places, batches and reading. */
+  /** Waiting for the first event of the engine: queueing for a slot, batching and prefill. */
   FIRST_EVENT {
     @Override
     long millis(LogLine call) {
@@ -27,7 +27,7 @@
     }
   },
 
-  /** Its engine's pace after the first event. */
+  /** Streaming after the first event, at the engine's token rate. */
   STREAM {
     @Override
     long millis(LogLine call) {
@@ -37,7 +37,7 @@
     }
   },
 
-  /** An answer that is not a stream: a tool's work and its queue. */
+  /** A response that is not a stream: queueing and processing time of a tool. */
   TOOL {
     @Override
     long millis(LogLine call) {
@@ -45,7 +45,7 @@
     }
   },
 
-  /** A call that was sent and failed: a lost, spoiled or broken answer, or no answer in time. */
+  /** A call that was sent and failed: the response was lost, invalid, cut off or too late. */
   FAILED_CALL {
     @Override
     long millis(LogLine call) {
@@ -59,7 +59,7 @@
     }
   },
 
-  /** A call that was refused before it was sent, beyond what it waited for the store. */
+  /** A call that was refused before it was sent, without its time of waiting for the store. */
   REFUSAL {
     @Override
     long millis(LogLine call) {
@@ -74,7 +74,9 @@
     }
   },
 
-  /** Time between a call's end and the program's next one: a node that was gone, or a retry. */
+  /**
+   * Time between the end of a call and the program's next call: an unavailable node, or a retry.
+   */
   BETWEEN_CALLS {
     @Override
     long millis(LogLine call) {
@@ -84,10 +86,13 @@
 
   private static final int FIRST_FAILURE_STATUS = 300;
 
-  /** The part of one call's time that this cause explains, in milliseconds. */
+  /** Returns the time of a call that is due to this cause, in milliseconds. */
   abstract long millis(LogLine call);
 
-  /** Whether calls of programs in time have a share of this, so that only the excess is a loss. */
+  /**
+   * Returns whether calls of programs that end in time also spend time on this, so that only the
+   * excess over the baseline counts as a loss.
+   */
   boolean hasBaseline() {
     return true;
   }
--- a/baykeel-cli/src/main/java/org/baykeel/cli/NodeCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/NodeCommand.java
@@ -6,7 +6,7 @@
 import org.baykeel.node.settings.ProcessSettings;
 import org.kohsuke.args4j.Argument;
 
-/** Runs a node until it is stopped. SIGTERM begins a planned stop. */
+/** Runs a node until it is stopped. SIGTERM starts a planned stop. */
 final class NodeCommand implements Command {
   @Argument(metaVar = "FILE", required = true, usage = "settings file of the node")
   private Path file;
--- a/baykeel-cli/src/main/java/org/baykeel/cli/OperatorCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/OperatorCommand.java
@@ -3,7 +3,7 @@
 import org.baykeel.bench.client.OperatorClient;
 import org.kohsuke.args4j.Option;
 
-/** The options of every command that talks to a node. */
+/** Base class of the commands that send requests to the operator API of a node. */
 abstract class OperatorCommand implements Command {
   @Option(name = "--node", metaVar = "IP:PORT", usage = "HTTP address of any node")
   private String node = "127.0.0.1:8080";
@@ -11,7 +11,7 @@
   @Option(name = "--key", metaVar = "KEY", usage = "the operators' key")
   private String key = "";
 
-  @Option(name = "--output", metaVar = "FORMAT", usage = "table or json")
+  @Option(name = "--output", metaVar = "FORMAT", usage = "output format: table or json")
   private String output = "table";
 
   OperatorClient client() {
@@ -22,7 +22,7 @@
     return output.equals("json");
   }
 
-  /** Prints what a node refused and returns the exit code. */
+  /** Prints the error of a failed request and returns the exit code for it. */
   static int reportFailure(OperatorClient.Answer response) {
     System.err.println(response.body());
     return response.status() == 0 ? ExitCode.UNREACHABLE : ExitCode.FAILED;
--- a/baykeel-cli/src/main/java/org/baykeel/cli/PlanCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/PlanCommand.java
@@ -10,14 +10,14 @@
 import org.baykeel.core.configuration.Declarations;
 import org.kohsuke.args4j.Option;
 
-/** Shows what a directory of declarations would change, and writes the plan to a file. */
+/** Shows the changes that a directory of declarations would make, and writes the plan to a file. */
 final class PlanCommand extends OperatorCommand {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   @Option(name = "-f", metaVar = "DIR", required = true, usage = "directory of declarations")
   private Path directory;
 
-  @Option(name = "--out", metaVar = "FILE", usage = "where to write the plan")
+  @Option(name = "--out", metaVar = "FILE", usage = "file to write the plan to")
   private Path planFile = Path.of("baykeel.plan");
 
   @Override
--- a/baykeel-cli/src/main/java/org/baykeel/cli/ProgramLossSummary.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/ProgramLossSummary.java
@@ -11,9 +11,10 @@
 import java.util.stream.Stream;
 
 /**
- * What programs lost and why, from the log lines of all nodes: one row for each program that ended
- * late or with a failure, with the cause that took most time beyond what is usual; totals by the
- * second in which programs began and by cause; and what the nodes used, by purpose.
+ * Summarizes the programs that ended late or failed, from the log lines of all nodes: one row for
+ * each such program, with the cause that took most time beyond its baseline (the median over the
+ * calls that spent time on it); the number of these programs by start second, route and loss;
+ * totals of all programs by loss and cause; and the resources that the nodes used, by purpose.
  */
 final class ProgramLossSummary {
   private static final String USAGE_EVENT = "USAGE";
@@ -25,27 +26,27 @@
   private static final long BUDGET_SPENT_STATUS = 402;
   private static final long UNKNOWN_TURN_STATUS = 404;
 
-  /** How a program ended, as far as the log tells. */
+  /** How a program ended, derived from the log lines of its calls. */
   enum Loss {
-    /** Its last call was served and within the program's time. */
+    /** Its last call succeeded and no call ended after the finish time of the program. */
     NONE,
-    /** A call ended after the time at which the program should have been over. */
+    /** A call ended after the time at which the program should have finished. */
     LATE,
-    /** It was refused before it began, for want of room. */
+    /** All of its calls were refused at admission, for lack of capacity or of remaining time. */
     NO_ROOM,
     /** Its last call failed. */
     FAILED,
-    /** Its last call was told that the budget is spent. */
+    /** Its last call was refused because the budget is spent. */
     BUDGET,
     /** Its last call named a turn that does not exist. */
     UNKNOWN_TURN
   }
 
   /**
-   * One program.
+   * A program and its calls.
    *
    * @param program its identifier
-   * @param calls its calls, in order of time
+   * @param calls its calls, ordered by the timestamp of their log lines
    * @param loss how it ended
    */
   private record Row(String program, List<LogLine> calls, Loss loss) {}
@@ -53,7 +54,7 @@
   private final Map<LossCause, Double> baselineMillis = new EnumMap<>(LossCause.class);
   private final List<Row> rows = new ArrayList<>();
 
-  /** What the nodes used in all, by their own words for it. */
+  /** Sums over all usage events, by the name of their field. */
   private final Map<String, Long> usageTotals = new TreeMap<>();
 
   private long logStartMillis = Long.MAX_VALUE;
@@ -68,10 +69,10 @@
   }
 
   /**
-   * The ledger of a log.
+   * Summarizes a log.
    *
    * @param log lines of any nodes, in any order
-   * @return its lines: a row for each program with a loss, then the totals
+   * @return a header, a row for each program with a loss, then the totals
    */
   static List<String> of(Stream<String> log) {
     return new ProgramLossSummary(log).lines();
@@ -157,7 +158,9 @@
     return lines;
   }
 
-  /** The second of the log in which a program's first call came, its route and its loss. */
+  /**
+   * The second, counted from the first log line, in which a program started; its route and loss.
+   */
   private String startSecondAndLoss(Row row) {
     LogLine first = row.calls().get(0);
     long startMillis = first.timestampMillis() - Math.max(0, first.number("ms"));
@@ -165,7 +168,13 @@
     return String.format("%4d %s %s", second, first.field("route").orElse("none"), row.loss());
   }
 
-  /** What explains a program's loss best. */
+  /**
+   * The cause with the largest time beyond its baseline.
+   *
+   * @param millis the time beyond the baseline, over all calls of the program
+   * @param worstCall the call with the longest time due to the cause; for a gap between calls, the
+   *     call before the gap
+   */
   private record MainCause(LossCause cause, double millis, LogLine worstCall) {}
 
   private MainCause mainCause(Row row) {
--- a/baykeel-cli/src/main/java/org/baykeel/cli/RecordTracesCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/RecordTracesCommand.java
@@ -6,14 +6,14 @@
 import org.baykeel.bench.trace.TraceRecorder;
 import org.kohsuke.args4j.Argument;
 
-/** Writes the project's traces and their stated outcomes anew, from fixed seeds. */
+/** Regenerates the project's traces and their expected outcomes, from fixed seeds. */
 final class RecordTracesCommand implements Command {
   private static final long ASSOCIATION_SEED = 20_261;
   private static final long FREIGHT_SEED = 20_262;
   private static final int ASSOCIATION_SCALE = 24;
   private static final int FREIGHT_SCALE = 30;
 
-  @Argument(metaVar = "DIR", required = true, usage = "where to write")
+  @Argument(metaVar = "DIR", required = true, usage = "directory to write to")
   private Path directory;
 
   @Override
--- a/baykeel-cli/src/main/java/org/baykeel/cli/SettingsFiles.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/SettingsFiles.java
@@ -13,11 +13,11 @@
 import org.baykeel.node.settings.ProcessSettings;
 import org.baykeel.node.settings.ProcessSettingsReader;
 
-/** Reads the files that commands name, and prints every error in them. */
+/** Reads settings and declaration files, and prints every error in them to standard error. */
 final class SettingsFiles {
   private SettingsFiles() {}
 
-  /** A node's settings, or null after the errors were printed. */
+  /** Reads the settings of a node; prints the errors and returns null if the file is invalid. */
   static ProcessSettings readNode(Path file) throws IOException {
     ProcessSettingsReader.Result result =
         ProcessSettingsReader.read(file.getFileName().toString(), Files.readString(file));
@@ -25,7 +25,7 @@
     return result.problems().isEmpty() ? result.settings() : null;
   }
 
-  /** The declarations of a directory, or null after the errors were printed. */
+  /** Reads the .yaml files of a directory; prints the errors and returns null if any is invalid. */
   static Declarations readDeclarations(Path directory) throws IOException {
     Map<String, String> files = new TreeMap<>();
     try (Stream<Path> paths = Files.list(directory)) {
--- a/baykeel-cli/src/main/java/org/baykeel/cli/ShowCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/ShowCommand.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import org.baykeel.bench.client.OperatorClient;
 
-/** Shows one of the operators' views, as a table or as JSON. */
+/** Prints a resource of the operator API, as a table or as JSON. */
 final class ShowCommand extends OperatorCommand {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
--- a/baykeel-cli/src/main/java/org/baykeel/cli/SimulateCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/SimulateCommand.java
@@ -13,7 +13,7 @@
 import org.baykeel.bench.simulation.Simulation;
 import org.kohsuke.args4j.Option;
 
-/** Runs seeded schedules of faults in virtual time and checks every promise. */
+/** Runs seeded schedules of faults in virtual time and checks every guarantee. */
 final class SimulateCommand implements Command {
   @Option(name = "--nodes", usage = "number of nodes")
   private int nodes = 5;
@@ -27,10 +27,13 @@
   @Option(name = "--count", usage = "number of seeds")
   private int seedCount = 100;
 
-  @Option(name = "--shrink", usage = "shrink the first failing schedules, this many")
+  @Option(name = "--shrink", usage = "number of failing schedules to shrink")
   private int shrinkLimit = 1;
 
-  @Option(name = "--schedule", metaVar = "FILE", usage = "run one schedule and print its log")
+  @Option(
+      name = "--schedule",
+      metaVar = "FILE",
+      usage = "run the schedule in this file and print its log")
   private Path scheduleFile;
 
   @Override
--- a/baykeel-cli/src/main/java/org/baykeel/cli/StopCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/StopCommand.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import org.baykeel.bench.client.OperatorClient;
 
-/** Begins the planned stop of a node. */
+/** Starts the planned stop of a node. */
 final class StopCommand extends OperatorCommand {
   @Override
   public int run() throws IOException {
--- a/baykeel-cli/src/main/java/org/baykeel/cli/TextTable.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/TextTable.java
@@ -6,7 +6,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Lays JSON out for people: a list as a table, an object as lines with its lists below. */
+/**
+ * Formats JSON as text: an array as a table, an object as lines of fields with its arrays below.
+ */
 final class TextTable {
   private TextTable() {}
 
--- a/baykeel-cli/src/test/java/org/baykeel/cli/TestArchitecture.java
+++ b/baykeel-cli/src/test/java/org/baykeel/cli/TestArchitecture.java
@@ -9,7 +9,10 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** The arrows between the modules point one way, and the core stays deterministic. */
+/**
+ * Checks the dependencies between the modules: they form layers without cycles, and code that
+ * decides uses no sockets, clocks or processes, so that it stays deterministic.
+ */
 @AnalyzeClasses(packages = "org.baykeel", importOptions = ImportOption.DoNotIncludeTests.class)
 class TestArchitecture {
   @ArchTest
