--- a/baykeel-cli/src/main/java/org/baykeel/cli/LogStory.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/LogExcerpt.java
@@ -6,11 +6,12 @@
 import java.util.stream.Stream;
 
 /**
- * The lines of the gateway's log that tell the story of one request or program: its own, and what
- * the nodes that served it learnt about their dependencies around that time.
+ * Selects the lines of the gateway's log that concern one request, session or program: the lines
+ * that contain its identifier, and the context events (changes of a node's own state, of its store,
+ * configuration or engines) that the same nodes logged within 3 s of one of these lines.
  */
-final class LogStory {
-  private static final long CONTEXT_MILLIS = 3_000;
+final class LogExcerpt {
+  private static final long CONTEXT_WINDOW_MILLIS = 3_000;
   private static final Set<String> CONTEXT_EVENTS =
       Set.of(
           "GATEWAY_STARTED",
@@ -40,31 +41,32 @@
           "LINES_DROPPED",
           "FAULT");
 
-  private LogStory() {}
+  private LogExcerpt() {}
 
   /**
-   * The story of a request, a session or a program.
+   * Selects the lines of a request, a session or a program.
    *
-   * @param id its identifier
+   * @param id identifier of the request, session or program
    * @param log lines of any nodes, in any order
-   * @return lines in order of time; empty if none tells of it
+   * @return lines ordered by timestamp; empty if no line contains the identifier
    */
   static List<String> of(String id, Stream<String> log) {
     List<LogLine> lines = log.flatMap(text -> LogLine.parse(text).stream()).toList();
-    List<LogLine> own = lines.stream().filter(line -> line.tellsOf(id)).toList();
+    List<LogLine> matchingLines = lines.stream().filter(line -> line.hasFieldValue(id)).toList();
     return lines.stream()
-        .filter(line -> line.tellsOf(id) || isContext(line, own))
-        .sorted(Comparator.comparingLong(LogLine::millis))
+        .filter(line -> line.hasFieldValue(id) || isContext(line, matchingLines))
+        .sorted(Comparator.comparingLong(LogLine::timestampMillis))
         .map(LogLine::text)
         .toList();
   }
 
-  private static boolean isContext(LogLine line, List<LogLine> own) {
-    return CONTEXT_EVENTS.contains(line.name())
-        && own.stream()
+  private static boolean isContext(LogLine line, List<LogLine> matchingLines) {
+    return CONTEXT_EVENTS.contains(line.eventName())
+        && matchingLines.stream()
             .anyMatch(
-                other ->
-                    other.node().equals(line.node())
-                        && Math.abs(other.millis() - line.millis()) <= CONTEXT_MILLIS);
+                matching ->
+                    matching.node().equals(line.node())
+                        && Math.abs(matching.timestampMillis() - line.timestampMillis())
+                            <= CONTEXT_WINDOW_MILLIS);
   }
 }
--- a/baykeel-cli/src/main/java/org/baykeel/cli/PlanCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/PlanCommand.java
@@ -10,14 +10,14 @@
 import org.baykeel.core.configuration.Declarations;
 import org.kohsuke.args4j.Option;
 
-/** Shows what a directory of declarations would change, and writes the plan to a file. */
-final class PlanCommand extends NodeOptions {
+/** Shows the changes that a directory of declarations would make, and writes the plan to a file. */
+final class PlanCommand extends OperatorCommand {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   @Option(name = "-f", metaVar = "DIR", required = true, usage = "directory of declarations")
   private Path directory;
 
-  @Option(name = "--out", metaVar = "FILE", usage = "where to write the plan")
+  @Option(name = "--out", metaVar = "FILE", usage = "file to write the plan to")
   private Path planFile = Path.of("baykeel.plan");
 
   @Override
@@ -27,15 +27,15 @@
       return ExitCode.INVALID_FILE;
     }
     String document = DeclarationCodec.encode(declarations).text();
-    OperatorClient.Answer answer = client().post("/operator/plan", document);
-    if (!answer.isSuccess()) {
-      return refused(answer);
+    OperatorClient.Answer response = client().post("/operator/plan", document);
+    if (!response.isSuccess()) {
+      return reportFailure(response);
     }
-    Files.writeString(planFile, answer.body());
-    if (wantsJson()) {
-      System.out.println(answer.body());
+    Files.writeString(planFile, response.body());
+    if (isJsonOutput()) {
+      System.out.println(response.body());
     } else {
-      print(MAPPER.readTree(answer.body()));
+      print(MAPPER.readTree(response.body()));
     }
     return ExitCode.OK;
   }
--- a/baykeel-cli/src/main/java/org/baykeel/cli/SettingsFiles.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/SettingsFiles.java
@@ -13,19 +13,19 @@
 import org.baykeel.node.settings.ProcessSettings;
 import org.baykeel.node.settings.ProcessSettingsReader;
 
-/** Reads the files that commands name, and prints every error in them. */
+/** Reads settings and declaration files, and prints every error in them to standard error. */
 final class SettingsFiles {
   private SettingsFiles() {}
 
-  /** A node's settings, or null after the errors were printed. */
+  /** Reads the settings of a node; prints the errors and returns null if the file is invalid. */
   static ProcessSettings readNode(Path file) throws IOException {
     ProcessSettingsReader.Result result =
         ProcessSettingsReader.read(file.getFileName().toString(), Files.readString(file));
-    print(result.problems());
+    printProblems(result.problems());
     return result.problems().isEmpty() ? result.settings() : null;
   }
 
-  /** The declarations of a directory, or null after the errors were printed. */
+  /** Reads the .yaml files of a directory; prints the errors and returns null if any is invalid. */
   static Declarations readDeclarations(Path directory) throws IOException {
     Map<String, String> files = new TreeMap<>();
     try (Stream<Path> paths = Files.list(directory)) {
@@ -34,11 +34,11 @@
       }
     }
     DeclarationReader.Result result = DeclarationReader.read(files);
-    print(result.problems());
+    printProblems(result.problems());
     return result.problems().isEmpty() ? result.declarations() : null;
   }
 
-  static void print(List<YamlProblem> problems) {
+  static void printProblems(List<YamlProblem> problems) {
     problems.forEach(System.err::println);
   }
 }
--- a/baykeel-cli/src/main/java/org/baykeel/cli/SimulateCommand.java
+++ b/baykeel-cli/src/main/java/org/baykeel/cli/SimulateCommand.java
@@ -13,7 +13,7 @@
 import org.baykeel.bench.simulation.Simulation;
 import org.kohsuke.args4j.Option;
 
-/** Runs seeded schedules of faults in virtual time and checks every promise. */
+/** Runs seeded schedules of faults in virtual time and checks every guarantee. */
 final class SimulateCommand implements Command {
   @Option(name = "--nodes", usage = "number of nodes")
   private int nodes = 5;
@@ -22,25 +22,28 @@
   private int engines = 4;
 
   @Option(name = "--from", usage = "first seed")
-  private long from = 1;
+  private long firstSeed = 1;
 
   @Option(name = "--count", usage = "number of seeds")
-  private int count = 100;
+  private int seedCount = 100;
 
-  @Option(name = "--shrink", usage = "shrink the first failing schedules, this many")
-  private int shrink = 1;
+  @Option(name = "--shrink", usage = "number of failing schedules to shrink")
+  private int shrinkLimit = 1;
 
-  @Option(name = "--schedule", metaVar = "FILE", usage = "run one schedule and print its log")
+  @Option(
+      name = "--schedule",
+      metaVar = "FILE",
+      usage = "run the schedule in this file and print its log")
   private Path scheduleFile;
 
   @Override
   public int run() throws IOException {
     if (scheduleFile != null) {
-      return runOne(FaultSchedule.parse(Files.readString(scheduleFile).strip()));
+      return runSchedule(FaultSchedule.parse(Files.readString(scheduleFile).strip()));
     }
     LongAdder steps = new LongAdder();
     Map<Long, String> failures = new ConcurrentSkipListMap<>();
-    LongStream.range(from, from + count)
+    LongStream.range(firstSeed, firstSeed + seedCount)
         .parallel()
         .forEach(
             seed -> {
@@ -53,10 +56,10 @@
             });
     new TreeMap<>(failures)
         .forEach((seed, text) -> System.out.println("seed " + seed + ": " + text));
-    failures.keySet().stream().limit(shrink).forEach(this::printShrunk);
+    failures.keySet().stream().limit(shrinkLimit).forEach(this::printShrunk);
     System.out.printf(
         "simulate: nodes=%d schedules=%d steps=%d failing=%d%n",
-        nodes, count, steps.sum(), failures.size());
+        nodes, seedCount, steps.sum(), failures.size());
     return failures.isEmpty() ? ExitCode.OK : ExitCode.FAILED;
   }
 
@@ -64,7 +67,7 @@
     return new Simulation(nodes, engines, schedule, keepLog).run();
   }
 
-  private int runOne(FaultSchedule schedule) {
+  private int runSchedule(FaultSchedule schedule) {
     Simulation.Result result = simulate(schedule, true);
     result.log().forEach(System.out::println);
     result.violations().forEach(System.out::println);
