--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmissionDecision.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmissionDecision.java
@@ -12,7 +12,7 @@
   public enum Cause {
     /** The program may start. */
     ADMITTED("admitted"),
-    /** The program is not predicted to meet its finish target. */
+    /** Under load only a share of programs may start, and this one is not among them. */
     NO_ROOM("no room"),
     /** The finish target passes before a single turn could finish. */
     TOO_LATE("too little time left");
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmittedShare.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/AdmittedShare.java
@@ -49,7 +49,11 @@
     return share;
   }
 
-  /** Returns whether the next program is admitted, if this share of such programs is. */
+  /**
+   * Returns whether the next program is admitted.
+   *
+   * @param tenantShare the share of the programs of its tenant that are admitted
+   */
   boolean admitNext(double tenantShare) {
     credit += tenantShare;
     if (credit < 1) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/DurationPrediction.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/DurationPrediction.java
@@ -75,8 +75,9 @@
 
   /**
    * The remaining time below which a program cannot meet its finish target, since not even one turn
-   * would finish. Where the finish target is short compared with a turn of the service, the turns
-   * of the route are taken to be shorter than that, and half of the finish target is the bound.
+   * would finish. Where a turn of the service is predicted to take longer than half of the finish
+   * target, the turns of the route are assumed to be shorter than predicted, and half of the finish
+   * target is the bound.
    */
   double minRemainingMillis() {
     return finishTargetMillis > 0 ? Math.min(turnMillis, finishTargetMillis / 2) : turnMillis;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/LocalWaitEstimate.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/LocalWaitEstimate.java
@@ -7,7 +7,10 @@
 
   private static final double OBSERVATIONS = 1 / SMOOTHING;
 
-  /** The estimate does not decay between two requests of a node that gets few of them. */
+  /**
+   * The estimate does not decay within this time of an observation, so that it lasts between two
+   * requests of a node that gets few of them.
+   */
   private static final double NO_DECAY_NANOS = 300e6;
 
   private static final double DECAY_NANOS = 500e6;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ProgramAdmission.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ProgramAdmission.java
@@ -10,7 +10,7 @@
 /**
  * Decides whether programs may start. No program is refused while the service has capacity; under
  * load, the share of programs that may start follows from how far programs are predicted to exceed
- * their usual duration, compared with the slack up to their finish target. Turns of running
+ * their baseline duration, compared with the slack up to their finish target. Turns of running
  * programs are never refused here: a refusal would waste the work that was done for them, whereas a
  * refusal before the first turn costs least.
  */
@@ -54,14 +54,14 @@
     this(engines, random, AdmissionShares.EVEN, log);
   }
 
-  /** Adds jitter to the retry delays of refused callers. */
+  /** Returns the source of the retry delays of refused callers. */
   public RetryDelay retryDelay() {
     return retryDelay;
   }
 
   /**
    * Returns whether all programs of this route may start now, so that no decision on the single
-   * program is needed.
+   * program is needed; the program is then counted for the distribution among the tenants.
    */
   public boolean unrestricted(AdmissionRequest request, long nowNanos) {
     boolean unrestricted = share(request, nowNanos) >= 1;
@@ -144,7 +144,7 @@
     pauses.turnStarted(conversation, profile, nowNanos);
   }
 
-  /** Whether this node has recently served a turn of a conversation. */
+  /** Whether a conversation is among those that this node served last. */
   public boolean servedRecently(String conversation) {
     return pauses.servedRecently(conversation);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ProgramProfile.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ProgramProfile.java
@@ -97,7 +97,7 @@
     pauseObserved = true;
   }
 
-  /** Records that a program called an engine of this service between two turns. */
+  /** Records that a program called an engine of another service between two turns. */
   void toolCalled(String service) {
     if (toolServices.size() < MAX_TOOLS) {
       toolServices.add(service);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/RetryDelay.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/RetryDelay.java
@@ -20,7 +20,8 @@
   /**
    * Returns a delay drawn uniformly from 0.5 to 1.5 times the mean.
    *
-   * @param meanMillis the mean, in milliseconds; 0 or less means no advice, and the result is 0
+   * @param meanMillis the mean, in milliseconds; 0 or less means no retry delay, and the result is
+   *     0
    */
   public long jittered(long meanMillis) {
     return meanMillis <= 0 ? 0 : Math.round(meanMillis * (MIN_FACTOR + random.nextDouble()));
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/RouteAdmission.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/RouteAdmission.java
@@ -90,24 +90,24 @@
    * Updates prediction and share from the present state of the service.
    *
    * @param waitMillis how long a turn waits for a slot
-   * @param loadKnown whether recent load reports are available, by which free slots are judged
+   * @param loadRecent whether recent load reports are available, by which free slots are judged
    * @param hasCapacity whether the service has capacity for any program
    */
   void update(
       ServicePerformance performance,
       double waitMillis,
-      boolean loadKnown,
+      boolean loadRecent,
       boolean hasCapacity,
       long nowNanos) {
     if (hasCapacity) {
       baseline.observe(DurationPrediction.workMillis(performance), profile.pauseMillis(), nowNanos);
     }
     prediction = DurationPrediction.of(profile, baseline, performance, waitMillis, nowNanos);
-    share.update(hasCapacity ? 1 : targetShare(loadKnown), programMillis(), nowNanos);
+    share.update(hasCapacity ? 1 : targetShare(loadRecent), programMillis(), nowNanos);
   }
 
-  private double targetShare(boolean loadKnown) {
-    double factor = loadKnown ? 1 : NO_REPORT_FACTOR;
+  private double targetShare(boolean loadRecent) {
+    double factor = loadRecent ? 1 : NO_REPORT_FACTOR;
     double rankOffset = Math.min(MAX_RANK_OFFSET, rank * OFFSET_PER_RANK);
     if (prediction.slackUse().isPresent()) {
       return shareBetween(
@@ -115,7 +115,7 @@
           SLACK_USE_AT_FIRST_REFUSAL,
           SLACK_USE_AT_MIN_SHARE);
     }
-    double slowerMillis = loadKnown ? prediction.excessWorkMillis() : 0;
+    double slowerMillis = loadRecent ? prediction.excessWorkMillis() : 0;
     double excessMillis = prediction.waitMillis() * factor + slowerMillis;
     return shareBetween(
         excessMillis / responseTargetMillis * (1 + rankOffset),
@@ -132,7 +132,11 @@
     return share.share();
   }
 
-  /** Returns whether the next program is admitted, if this share of such programs is. */
+  /**
+   * Returns whether the next program is admitted.
+   *
+   * @param tenantShare the share of the programs of its tenant that are admitted
+   */
   boolean admitNext(double tenantShare) {
     return share.admitNext(tenantShare);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ServiceAdmission.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ServiceAdmission.java
@@ -8,11 +8,12 @@
 
 /** The admission state of all routes whose turns run at one service. */
 final class ServiceAdmission {
-  /** While its occupancy is below this bound, the service has capacity for any program. */
+  /** While the occupancy of the service is below this bound, it has capacity for any program. */
   private static final double SPARE_OCCUPANCY = 0.7;
 
   /**
-   * The same bound while the load is unknown: a wait below this multiple of the response target.
+   * The same bound while there are no recent load reports: a wait below this multiple of the
+   * response target.
    */
   private static final double SPARE_WAIT_TARGETS = 0.25;
 
@@ -76,7 +77,8 @@
 
   /**
    * Returns the share of a route's programs that may start now. The shares of the other routes are
-   * updated too, since a route never gets a larger share than a more urgent one.
+   * updated too, since without spare capacity a route never gets a larger share than a more urgent
+   * one.
    */
   double share(RouteAdmission requesting, long responseTargetMillis, long nowNanos) {
     requesting.onRequest(responseTargetMillis, nowNanos);
@@ -100,12 +102,12 @@
   }
 
   private boolean hasSpareCapacity(RouteAdmission route, long nowNanos) {
-    boolean localCapacity =
+    boolean serviceHasCapacity =
         capacity.recent()
             ? capacity.occupancy() < SPARE_OCCUPANCY
             : localWait.currentMillis(nowNanos)
                 < lowestTargetMillis(route, nowNanos) * SPARE_WAIT_TARGETS;
-    return localCapacity && toolsHaveSpareCapacity(route, nowNanos);
+    return serviceHasCapacity && toolsHaveSpareCapacity(route, nowNanos);
   }
 
   /**
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ServiceCapacity.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/admission/ServiceCapacity.java
@@ -6,7 +6,7 @@
 import org.baykeel.gateway.directory.LoadEstimate;
 
 /**
- * The capacity of a service, over those of its engines that take work.
+ * The load of a service compared with its capacity, over those of its engines that take work.
  *
  * @param known whether the load is known for at least half of their slots
  * @param requestsPerSlot requests that engines have accepted, per slot; above 1 while some wait
@@ -23,8 +23,8 @@
   static final ServiceCapacity UNKNOWN = new ServiceCapacity(false, 0, 0, 0, -1);
 
   /**
-   * An older report says nothing about free slots: programs that started since then may have taken
-   * them.
+   * An older report does not show whether slots are free: programs that started since then may have
+   * taken them.
    */
   private static final long RECENT_MILLIS = 1_000;
 
@@ -74,7 +74,7 @@
   }
 
   /**
-   * Returns the same service with more requests.
+   * Returns the load of the service with more requests.
    *
    * @param growth additional requests per slot, at least 0
    */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AttemptSequence.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AttemptSequence.java
@@ -18,7 +18,7 @@
  */
 final class AttemptSequence implements EngineAttempt.Owner, ResponseSource, WaitQueue.Waiter {
   /** Engines that are tried one after the other before the request waits for capacity. */
-  private static final int MAX_SENDS = 6;
+  private static final int MAX_SENDS_PER_ROUND = 6;
 
   private static final long BUSY_RETRY_MILLIS = 150;
 
@@ -138,7 +138,9 @@
   private void dispatch() {
     long now = eventLoop.nanoTime();
     EngineSelector.Choice choice =
-        sendsInRound >= MAX_SENDS ? null : context.selector().choose(criteria, triedEngines, now);
+        sendsInRound >= MAX_SENDS_PER_ROUND
+            ? null
+            : context.selector().choose(criteria, triedEngines, now);
     if (choice == null) {
       onNoEngine();
       return;
@@ -199,7 +201,7 @@
 
   private void onNoEngine() {
     retryNotBeforeNanos = eventLoop.nanoTime() + MIN_WAIT_MILLIS * 1_000_000;
-    boolean onlyFailures = sendsInRound >= MAX_SENDS && !anyEngineFull;
+    boolean onlyFailures = sendsInRound >= MAX_SENDS_PER_ROUND && !anyEngineFull;
     if (onlyFailures || !waitForCapacity()) {
       onNoCapacity();
     }
@@ -231,7 +233,7 @@
     return new WaitQueue.Requirement(call.service(), call.residency(), call.route().repeatable());
   }
 
-  /** Whether the request arrived early enough to finish before its program is due. */
+  /** Whether the request arrived early enough to meet its program's finish target. */
   private boolean canMeetTarget() {
     return call.attributes().finishMillis() > workMillis();
   }
@@ -242,8 +244,8 @@
   }
 
   /**
-   * The due time of the program or the caller's deadline, whichever is first; only the deadline if
-   * the due time cannot be met.
+   * The program's finish target or the caller's deadline, whichever is first; only the deadline if
+   * the finish target cannot be met.
    */
   private long dueNanos() {
     long finishTargetNanos =
@@ -255,8 +257,8 @@
 
   /**
    * When a wait for capacity must end so that the work can still finish in time. A request that may
-   * run only once has until the caller's deadline, since its program is lost with it; any other
-   * request must also meet its program's due time if it still can.
+   * run only once may wait until the caller's deadline, since its program is lost if the request
+   * fails; any other request must also meet its program's finish target if it still can.
    */
   private long giveUpNanos() {
     long limitNanos = call.route().repeatable() ? dueNanos() : call.deadlineNanos();
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AuthorizedCall.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/AuthorizedCall.java
@@ -36,8 +36,8 @@
       BackendSelector backendSelector) {
     Route route = authorized.route();
     CallAttributes attributes = request.attributes();
-    String conversation = attributes.conversationOrObject(route.kind() == RouteKind.STREAMING);
-    String service = backendSelector.choose(route, conversation);
+    String key = attributes.conversationOrObject(route.kind() == RouteKind.STREAMING);
+    String service = backendSelector.choose(route, key);
     ServiceProfile profile = authorized.configuration().service(service);
     int tokensPerEvent = profile == null ? 0 : profile.tokensPerEvent();
     long timeoutMillis = attributes.timeoutMillis(route.timeoutMillis());
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallAttributes.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallAttributes.java
@@ -10,7 +10,7 @@
  *
  * @param requestId the unique identifier of the request
  * @param deadlineMillis how long the caller waits, in milliseconds
- * @param finishMillis the time until the whole program is due, in milliseconds
+ * @param finishMillis the time until the program's finish target, in milliseconds
  * @param programId the program that it belongs to
  * @param sessionId its conversation within the program
  * @param tokenBudget the tokens that all turns of the program together may generate
@@ -54,10 +54,12 @@
    * The time that the request has, in milliseconds: until the caller's deadline, but no longer than
    * the route allows.
    *
-   * @param timeoutMillis the longest time that the route holds a request
+   * @param routeTimeoutMillis the longest time that the route holds a request
    */
-  public long timeoutMillis(long timeoutMillis) {
-    return deadlineMillis == ABSENT ? timeoutMillis : Math.min(deadlineMillis, timeoutMillis);
+  public long timeoutMillis(long routeTimeoutMillis) {
+    return deadlineMillis == ABSENT
+        ? routeTimeoutMillis
+        : Math.min(deadlineMillis, routeTimeoutMillis);
   }
 
   /**
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallAuthorization.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallAuthorization.java
@@ -26,9 +26,9 @@
   private static final long STALE_RETRY_MILLIS = 100;
 
   /**
-   * Judging by this node's own calls, the store is unreachable for all nodes. Callers wait no
-   * longer than a third of the time that they have, and their few retries should last until the
-   * store is back.
+   * The retry delay while this node's calls to the store fail: the store is then assumed to be
+   * unreachable for all nodes. Callers wait no longer than a third of the time that they have, and
+   * their few retries should last until the store is back.
    */
   private static final long OUTAGE_RETRY_MILLIS = 1_000;
 
@@ -127,8 +127,8 @@
   }
 
   /**
-   * A turn that is refused because its budget is spent does not run, so it is not charged to the
-   * limit.
+   * Returns whether the budget of the turn is known to be spent. Such a turn does not run, so it is
+   * not charged to the limit.
    */
   private boolean budgetSpent(Tenant tenant) {
     CallAttributes attributes = request.attributes();
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallRecord.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/CallRecord.java
@@ -22,7 +22,7 @@
   private final EnumMap<Wait, Long> waitedMillis = new EnumMap<>(Wait.class);
   private String tenant = "none";
   private String lastEngine = "none";
-  private int unreadTokens;
+  private int uncachedTokens;
   private int lastRank = Urgency.UNRANKED;
 
   /** The reasons for which a call waits, other than its engine. */
@@ -97,7 +97,7 @@
     metrics.requestRanked(rank);
     Engine engine = choice.engine();
     lastEngine = engine.record().id();
-    unreadTokens = engine.cachedPrefixes().uncachedTokens(prompt);
+    uncachedTokens = engine.cachedPrefixes().uncachedTokens(prompt);
     metrics.requestSent(choice.locality());
     if (!choice.locality().inRegion()) {
       log.write(
@@ -177,7 +177,7 @@
         "prompt",
         PromptPart.totalTokens(attributes.prompt()),
         "unread",
-        unreadTokens,
+        uncachedTokens,
         "runs",
         end.runs(),
         "events",
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineAttempt.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineAttempt.java
@@ -38,7 +38,7 @@
     /** Data arrived from the engine. */
     void onAttemptProgress();
 
-    /** A signed stream starts. */
+    /** The head of a stream with the engine's signature arrived. */
     void onStreamHead(ResponseHead head);
 
     /** A complete event. */
@@ -64,7 +64,7 @@
   private final ProgramAdmission admission;
   private final Owner owner;
   private final EventStreamParser parser = new EventStreamParser();
-  private final double expectedMillis;
+  private final double expectedFirstEventMillis;
   private final int uncachedTokens;
   private final boolean continuation;
   private final long startedNanos;
@@ -90,7 +90,7 @@
     this.eventLoop = eventLoop;
     this.admission = admission;
     this.owner = owner;
-    this.expectedMillis = engine.expectedFirstEventMillis(prompt);
+    this.expectedFirstEventMillis = engine.expectedFirstEventMillis(prompt);
     this.uncachedTokens = engine.cachedPrefixes().uncachedTokens(prompt);
     this.continuation = engine.cachedPrefixes().containsOwnPart(prompt);
     this.startedNanos = eventLoop.nanoTime();
@@ -228,7 +228,7 @@
     if (continuation) {
       engine.performance().observeNewTokens(uncachedTokens);
     }
-    double waitMillis = firstMillis - expectedMillis;
+    double waitMillis = firstMillis - expectedFirstEventMillis;
     engine.observeWait(waitMillis, nowNanos);
     admission.observeWait(engine.record().service(), waitMillis, nowNanos);
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineRequest.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineRequest.java
@@ -7,7 +7,8 @@
  * A request in the form in which an engine gets it.
  *
  * @param source the caller's request
- * @param body the body for the engine; for a continued turn it holds the whole chain
+ * @param body the body for the engine; for a turn that continues another it holds the whole
+ *     conversation
  * @param remainingMillis the time until the caller's deadline, in milliseconds
  * @param caller on whose behalf it runs
  * @param lastEventId the last event that the caller has; {@link CallAttributes#ABSENT} if none
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineTransport.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/EngineTransport.java
@@ -8,7 +8,7 @@
   /**
    * Sends a request.
    *
-   * @return a handle that cancels it
+   * @return the request in progress, to cancel it or to pause reading its response
    */
   Exchange send(Engine engine, EngineRequest request, Listener listener);
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GracefulStop.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/GracefulStop.java
@@ -5,9 +5,9 @@
 import org.baykeel.gateway.telemetry.GatewayLog;
 
 /**
- * A planned stop: the node is not ready at once, but serves on until the load balancer has noticed;
- * then it accepts no new connections, and ends once no request is in progress or the grace period
- * is nearly over.
+ * A planned stop: the node stops being ready at once, but serves on until the load balancer has
+ * noticed; then it accepts no new connections, and ends once no request is in progress or the grace
+ * period is nearly over.
  */
 public final class GracefulStop {
   /**
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ProgramStart.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/ProgramStart.java
@@ -14,9 +14,9 @@
 /**
  * Determines whether a turn starts its program, and if so whether the program may start; also
  * reports the turns of programs to {@link ProgramAdmission}. A program with a token budget that has
- * started at any node is never refused here: if that matters and this node has no record of it, it
- * reads the store. A program without a budget has no row in the store; only this node's own records
- * show that it has started.
+ * started at any node is never refused here: if the program could be refused and this node has no
+ * record of it, the node reads the store. A program without a budget has no row in the store; only
+ * this node's own records show that it has started.
  */
 final class ProgramStart {
   private final GatewayContext context;
@@ -27,12 +27,12 @@
   private final ProgramAdmission admission;
   private final String program;
   private final String conversation;
-  private boolean mayStart;
+  private boolean mayBeNew;
   private boolean startedElsewhere;
   private boolean turnStarted;
   private boolean closed;
 
-  /** Creates a start on which nothing is decided. */
+  /** Creates an instance that has not decided yet. */
   ProgramStart(GatewayContext context, AuthorizedCall call) {
     this.context = context;
     this.call = call;
@@ -56,8 +56,8 @@
       admitted.run();
       return;
     }
-    mayStart = mayStart();
-    if (!mayStart || admission.unrestricted(admissionRequest(), now())) {
+    mayBeNew = mayBeNew();
+    if (!mayBeNew || admission.unrestricted(admissionRequest(), now())) {
       proceed(admitted);
     } else if (!attributes.budgeted()) {
       requestAdmission(admitted, refused);
@@ -75,7 +75,7 @@
   }
 
   /** Whether the program may be a new one, by this node's records. */
-  private boolean mayStart() {
+  private boolean mayBeNew() {
     if (!attributes.firstConversation()
         || attributes.previousTurn() != null
         || admission.servedRecently(conversation)) {
@@ -127,7 +127,7 @@
       turnStarted = true;
       admission.turnStarted(route.name(), conversation, now());
     }
-    if (mayStart && !attributes.budgeted()) {
+    if (mayBeNew && !attributes.budgeted()) {
       recordStart();
     }
     admitted.run();
@@ -147,7 +147,7 @@
     return startedElsewhere;
   }
 
-  /** Ends the call. */
+  /** Records that the call ended. */
   void close() {
     closed = true;
     if (turnStarted) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/Refusal.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/Refusal.java
@@ -7,7 +7,7 @@
  *
  * @param kind determines the status
  * @param retryAfterMillis when the caller should retry, in milliseconds; 0 if the response does not
- *     say
+ *     give it
  * @param detail a short phrase for the log
  */
 public record Refusal(ErrorKind kind, long retryAfterMillis, String detail) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/SilenceWatch.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/SilenceWatch.java
@@ -20,7 +20,8 @@
    * Creates a watch that has not started.
    *
    * @param route determines how long an engine may be silent
-   * @param onSilence runs each time the engine has been silent for that long
+   * @param onSilence runs each time a check finds that the engine has been silent for that long; a
+   *     check follows the one before after that time
    */
   SilenceWatch(EventLoop eventLoop, Route route, Runnable onSilence) {
     this.eventLoop = eventLoop;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnBudget.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnBudget.java
@@ -5,8 +5,8 @@
 import org.baykeel.gateway.budget.ReservationStatus;
 
 /**
- * Whether a turn may run, and the tokens that it may send to the caller. A turn without a budget
- * has no limit of tokens.
+ * Decides whether a turn may run, and reserves the tokens that it may send to the caller. A turn
+ * without a budget has no limit of tokens.
  */
 final class TurnBudget {
   private final GatewayContext context;
@@ -36,9 +36,9 @@
   }
 
   /**
-   * Whether the call must be refused while the store is unreachable. A turn could run while its
-   * events wait for the store, but that use of an engine is justified only if engines have spare
-   * capacity.
+   * Whether the call must be refused, since the store is unreachable and engines have no spare
+   * capacity. A turn could run while its events wait for the store, but that use of an engine is
+   * justified only if engines have spare capacity.
    */
   boolean mustRefuseWithoutStore() {
     return !context.storeHealth().reachable()
@@ -84,14 +84,15 @@
 
   /**
    * Whether the turn may be sent now. While the decision on its tokens is pending, it may only be
-   * sent if they will most likely be granted. A turn in the first conversation of a program that
-   * this node has no record of most likely starts the program, whose budget then suffices. A turn
-   * of a sub-agent does not: a program in a loop starts one sub-agent after the other.
+   * sent if they will most likely be granted, or if the store is unreachable. A turn in the first
+   * conversation of a program that this node has no record of most likely starts the program, whose
+   * budget then suffices. A turn of a sub-agent does not: a program in a loop starts one sub-agent
+   * after the other.
    */
   boolean maySend() {
     boolean likelyNew = !programKnown && attributes.firstConversation();
-    boolean likelyGranted = likelyNew || !context.storeHealth().reachable();
-    return status() != ReservationStatus.PENDING || likelyGranted;
+    boolean maySendUngranted = likelyNew || !context.storeHealth().reachable();
+    return status() != ReservationStatus.PENDING || maySendUngranted;
   }
 
   /** Records tokens that were sent to the caller. */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnChain.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/TurnChain.java
@@ -40,7 +40,8 @@
   /**
    * Stores the call's own turn.
    *
-   * @param callback receives whether the store has the turn; attempts end at the call's deadline
+   * @param callback receives whether the store has the turn; storing is not tried again after the
+   *     call's deadline
    */
   void store(byte[] output, Consumer<Boolean> callback) {
     String turnId = call.caller().scoped(call.attributes().requestId());
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/call/WaitQueue.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/call/WaitQueue.java
@@ -11,8 +11,8 @@
 /**
  * The requests of one node that wait until an engine has a free slot, grouped by their
  * requirements. When a slot is expected, the most urgent request is sent: the one with the least
- * time until its program is due or its caller's deadline. Requests that arrived too late for their
- * finish target, or have none, come after all others, in order of their deadlines.
+ * time until its program's finish target or its caller's deadline. Requests that arrived too late
+ * for their finish target, or have none, come after all others, in order of their deadlines.
  */
 final class WaitQueue {
   private static final Comparator<Ticket> MOST_URGENT_FIRST =
@@ -196,9 +196,10 @@
   /**
    * Adds a request.
    *
-   * @param canMeetTarget whether the request arrived early enough to finish before its program is
-   *     due
-   * @param dueNanos the due time of its program or the caller's deadline, whichever is first
+   * @param canMeetTarget whether the request arrived early enough to meet its program's finish
+   *     target
+   * @param dueNanos its program's finish target or the caller's deadline, whichever is first; only
+   *     the deadline if the finish target cannot be met
    * @param giveUpNanos when the wait ends without a slot
    */
   Ticket add(
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/EngineLoadView.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/EngineLoadView.java
@@ -14,8 +14,8 @@
   private static final double LOADED_MEMORY_SHARE = 0.75;
 
   /**
-   * A longer time between two notices means that a node stopped publishing; it is not the interval
-   * at which the node publishes.
+   * A longer time between two notices means that a node stopped publishing, so that time is not
+   * taken for the interval at which the node publishes.
    */
   private static final long MAX_NOTICE_INTERVAL_NANOS = 4_000_000_000L;
 
@@ -44,7 +44,7 @@
   /**
    * Adopts a report unless a later one is known.
    *
-   * @return false if the report is too old to be used
+   * @return false if the report is too old to be used; true also if a later one is known
    */
   boolean adopt(LoadReport report, long asOfNanos, long nowNanos) {
     if (nowNanos - asOfNanos >= LoadEstimate.STALE_NANOS) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReporter.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadReporter.java
@@ -34,7 +34,7 @@
   private final Topology topology;
   private final LoadReportClient reportClient;
   private final LoadView loadView;
-  private final LoadNoticePublisher notices;
+  private final LoadNoticePublisher noticePublisher;
   private final EventLoopLag lag;
   private final EventLoop eventLoop;
   private final GatewayLog log;
@@ -49,7 +49,7 @@
       Topology topology,
       LoadReportClient reportClient,
       LoadView loadView,
-      LoadNoticePublisher notices,
+      LoadNoticePublisher noticePublisher,
       EventLoopLag lag,
       EventLoop eventLoop,
       GatewayLog log) {
@@ -59,7 +59,7 @@
     this.topology = topology;
     this.reportClient = reportClient;
     this.loadView = loadView;
-    this.notices = notices;
+    this.noticePublisher = noticePublisher;
     this.lag = lag;
     this.eventLoop = eventLoop;
     this.log = log;
@@ -106,8 +106,9 @@
   }
 
   /**
-   * Queries engines together, so that one notice contains all of them. Engines for which this node
-   * is the first wait until the budget covers all of these; the others share the remaining budget.
+   * Queries engines together, so that one notice contains all of them. No engine is queried until
+   * the budget covers all engines for which this node ranks first; the others are queried as far as
+   * the remaining budget allows.
    */
   private void queryRound(List<LoadQuerySchedule> round, long now) {
     Comparator<LoadQuerySchedule> byRank = Comparator.comparingInt(LoadQuerySchedule::rank);
@@ -115,18 +116,18 @@
     long ownBytes =
         round.stream()
             .filter(schedule -> schedule.rank() == 0)
-            .mapToLong(schedule -> notices.entryBytes(schedule.view().id()))
+            .mapToLong(schedule -> noticePublisher.entryBytes(schedule.view().id()))
             .sum();
-    if (!notices.hasBudget(notices.roundBytes() + ownBytes)) {
+    if (!noticePublisher.hasBudget(noticePublisher.roundBytes() + ownBytes)) {
       return;
     }
-    long shared = notices.roundBytes();
+    long roundBytes = noticePublisher.roundBytes();
     for (LoadQuerySchedule schedule : round) {
-      long bytes = shared + notices.entryBytes(schedule.view().id());
-      if (!notices.hasBudget(bytes)) {
+      long bytes = roundBytes + noticePublisher.entryBytes(schedule.view().id());
+      if (!noticePublisher.hasBudget(bytes)) {
         return;
       }
-      shared = 0;
+      roundBytes = 0;
       query(schedule, bytes, now);
     }
   }
@@ -140,7 +141,7 @@
   }
 
   private void query(LoadQuerySchedule schedule, long reserved, long now) {
-    notices.reserve(reserved);
+    noticePublisher.reserve(reserved);
     schedule.queryStarted(now);
     reportClient.query(schedule.view().engine(), result -> onResult(schedule, reserved, result));
   }
@@ -154,7 +155,7 @@
       adopt(schedule.view().id(), reported, reserved, now);
       return;
     }
-    notices.release(reserved);
+    noticePublisher.release(reserved);
     if (result instanceof LoadQueryResult.Unavailable unavailable) {
       schedule.unavailable(now);
       logUnavailable(schedule, unavailable.reason());
@@ -164,17 +165,18 @@
   }
 
   /**
-   * The engine may have restarted since the query was sent, and this report may be the first
-   * message with its new start time.
+   * Adopts and publishes a report unless an earlier incarnation of the engine returned it. The
+   * engine may have restarted since the query was sent, and this report may be the first message
+   * with its new start time.
    */
   private void adopt(EngineId id, LoadQueryResult.Reported reported, long reserved, long now) {
     LoadReport report = reported.report();
     if (!loadView.isCurrentIncarnation(id, report.startMillis())) {
-      notices.release(reserved);
+      noticePublisher.release(reserved);
       return;
     }
     loadView.viewOf(engines.find(id)).adopt(report, reported.asOfNanos(), now);
-    notices.publish(id, report, reported.asOfNanos(), reserved);
+    noticePublisher.publish(id, report, reported.asOfNanos(), reserved);
   }
 
   private void onPrecedingNodeReport(EngineLoadView view) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadSharing.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadSharing.java
@@ -24,7 +24,7 @@
   private final EngineDirectory engines;
   private final EventLoop eventLoop;
   private final LoadView loadView;
-  private final LoadNoticePublisher notices;
+  private final LoadNoticePublisher noticePublisher;
   private final LoadReporter reporter;
   private boolean started;
 
@@ -52,10 +52,19 @@
     EventLoopLag lag =
         new EventLoopLag(LoadReporter.TICK_MILLIS * NANOS_PER_MILLI, eventLoop.nanoTime());
     this.loadView = new LoadView(engines, order, latency, eventLoop, lag);
-    this.notices = new LoadNoticePublisher(peers, transport, codec, eventLoop);
+    this.noticePublisher = new LoadNoticePublisher(peers, transport, codec, eventLoop);
     this.reporter =
         new LoadReporter(
-            engines, peers, order, topology, reportClient, loadView, notices, lag, eventLoop, log);
+            engines,
+            peers,
+            order,
+            topology,
+            reportClient,
+            loadView,
+            noticePublisher,
+            lag,
+            eventLoop,
+            log);
   }
 
   /** Starts to query the engines for which this node is the reporter; later calls do nothing. */
@@ -78,8 +87,8 @@
     gauge(metrics, "engines_known", () -> knownAges().count());
     gauge(metrics, "engines_reported_here", reporter::enginesReported);
     gauge(metrics, "notices_received", loadView::notices);
-    gauge(metrics, "datagrams_sent", notices::datagrams);
-    gauge(metrics, "sent_bytes", notices::bytes);
+    gauge(metrics, "datagrams_sent", noticePublisher::datagrams);
+    gauge(metrics, "sent_bytes", noticePublisher::bytes);
   }
 
   private static void gauge(GatewayMetrics metrics, String name, LongSupplier reading) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadView.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/load/LoadView.java
@@ -29,7 +29,7 @@
   private final EventLoopLag lag;
   private final Map<String, EngineLoadView> viewById = new HashMap<>();
   private Consumer<EngineLoadView> onPrecedingNodeReport = view -> {};
-  private long notices;
+  private long noticesReceived;
 
   /**
    * Creates an empty load view.
@@ -87,13 +87,13 @@
 
   /** Returns the number of notices received. */
   long notices() {
-    return notices;
+    return noticesReceived;
   }
 
   @Override
   public void onMessage(PeerAddress sender, PeerMessage message) {
     if (message instanceof PeerMessage.EngineLoadNotice notice) {
-      notices++;
+      noticesReceived++;
       notice.engines().forEach(report -> adopt(sender, report));
     }
   }
@@ -107,8 +107,8 @@
     long ageMillis = report.ageMillis() + latency.roundTripMillis(sender);
     long asOf = now - ageMillis * NANOS_PER_MILLI - lag.lagNanos(now);
     EngineLoadView view = viewOf(engine);
-    boolean adopted = view.adopt(new LoadReport(report.load(), report.startMillis()), asOf, now);
-    if (adopted && order.outranksSelf(sender, view.id().value())) {
+    boolean usable = view.adopt(new LoadReport(report.load(), report.startMillis()), asOf, now);
+    if (usable && order.outranksSelf(sender, view.id().value())) {
       view.precedingNodeReported(now);
       onPrecedingNodeReport.accept(view);
     }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/BackendSelector.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/BackendSelector.java
@@ -7,9 +7,9 @@
 import org.baykeel.gateway.configuration.Route;
 
 /**
- * Distributes the requests of a route over its services by weight. Requests with a key (a session
- * or an object) always go to the same service. Requests without a key use smooth weighted round
- * robin, which keeps the shares exact over any sequence of requests.
+ * Distributes the requests of a route over its services by weight. Requests with the same key (a
+ * conversation or an object) always go to the same service. Requests without a key use smooth
+ * weighted round robin, which keeps the shares exact over any sequence of requests.
  */
 public final class BackendSelector {
   private final Map<String, long[]> creditByRoute = new HashMap<>();
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/EnginePolicy.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/EnginePolicy.java
@@ -3,7 +3,7 @@
 import org.baykeel.gateway.directory.Engine;
 
 /**
- * A rule on which engines may run a request, independent of how fast they would run it. The
+ * A rule on which engines may run a request or be its home engine, and on their penalties. The
  * selector calls it for each engine of a service at each selection, so an implementation must
  * return from memory and in constant time.
  */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/EngineSelector.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/EngineSelector.java
@@ -15,13 +15,14 @@
 import org.baykeel.gateway.topology.Topology;
 
 /**
- * Selects the engine at which a request is predicted to complete first. The prediction adds up the
- * wait at the engine, the prefill of prompt tokens that it has not cached, the events of a usual
- * response at its present inter-event time, and the network latency to another zone or region.
- * Policies decide which engines may run the request at all.
+ * Selects the engine with the lowest predicted cost for a request, in milliseconds. The cost adds
+ * up the wait at the engine, the weighted prefill of prompt tokens that it has not cached, the
+ * excess of its inter-event time for the events of a usual response, the network latency to another
+ * zone or region, and penalties; the home engine gets a bonus. Policies decide which engines may
+ * run the request at all.
  *
- * <p>Every request with a home key has a home engine, which is the same at each node of a region:
- * turns of a program find the prompt prefix that they share there even when they arrive through
+ * <p>Every request with a home key has a home engine, which is the same at each node of a region.
+ * The turns of a program find their common prompt prefix cached there even when they arrive through
  * different nodes.
  */
 public final class EngineSelector {
@@ -45,9 +46,9 @@
   private static final double STREAM_IN_FLIGHT_WEIGHT = 1.0 / 200;
 
   /**
-   * For streams without a home key the inter-event time of an engine of known load counts in full
-   * once it differs from the median by this factor in either direction. A smaller difference is
-   * caused by whatever the engine happens to run.
+   * For streams without a home key the difference between the inter-event time of an engine of
+   * known load and the median counts in full from this factor in either direction. A smaller
+   * difference is ignored, since it is caused by whatever the engine happens to run.
    */
   private static final double EQUAL_FACTOR = 1.25;
 
@@ -168,8 +169,8 @@
       Engine engine, double predictedMillis, double inRegionMillis, Locality locality) {}
 
   /**
-   * Selects the best engine that is not excluded. The policies are notified and count the request
-   * as sent to it.
+   * Selects the best engine that is not excluded. The policies are notified of the selected engine
+   * and may count the request as sent to it.
    *
    * @param excluded identifiers of engines that were already tried for this request
    * @return an engine, or null if no engine accepts work or the best one is expected to be full
@@ -181,7 +182,7 @@
 
   /**
    * Selects the best engine that is not excluded, and compares it with those of this node's region.
-   * The policies are notified and count the request as sent to it.
+   * The policies are notified of the selected engine and may count the request as sent to it.
    *
    * @param excluded identifiers of engines that were already tried for this request
    * @return a choice, or null if no engine accepts work or the best one is expected to be full
@@ -219,8 +220,9 @@
   }
 
   /**
-   * Returns when an engine that is worth waiting for is expected to have capacity for a request. If
-   * no engine is worth waiting for, any engine that accepts work counts.
+   * Returns when an engine that is worth waiting for is expected to have capacity for a request. An
+   * engine with a large penalty for its health or from a policy is not worth waiting for; if no
+   * engine is, any engine that accepts work counts.
    *
    * @param excluded identifiers of engines that were already tried for this request
    * @return the present moment if an engine may have capacity; {@link Long#MAX_VALUE} if no engine
@@ -242,10 +244,7 @@
     return earliest == Long.MAX_VALUE ? earliestOfAny : earliest;
   }
 
-  /**
-   * Returns the penalty of an engine that does not depend on its load: that of its health and those
-   * of the policies.
-   */
+  /** Returns the sum of the penalty for the health of an engine and those of the policies. */
   private double healthAndPolicyPenaltyMillis(
       Engine engine, Criteria criteria, double responseMillis, long nowNanos) {
     double millis = engine.health(nowNanos).penaltyMillis(criteria.repeatable(), responseMillis);
@@ -362,10 +361,12 @@
   }
 
   /**
-   * Returns by how much the inter-event time of an engine exceeds the usual one, in milliseconds.
+   * Returns the part of an engine's inter-event time that counts as excess, in milliseconds: the
+   * part beyond {@link #SLOW_FACTOR} times the median, or, for an independent stream, the
+   * difference from the median unless it is small.
    *
-   * @param independent whether the stream may go to any engine; the result is then negative for an
-   *     engine that is faster than usual
+   * @param independent whether the stream has no home key and the load of the engine is known; the
+   *     result may then be negative
    */
   private static double excessInterEventMillis(
       Engine engine, boolean independent, double medianMillis, long nowNanos) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/SlowHomePolicy.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/SlowHomePolicy.java
@@ -33,8 +33,8 @@
   private static final long LOG_INTERVAL_NANOS = 1_000_000_000L;
 
   /**
-   * More engines than are slow at the same time; when it is exceeded, the engine that was added
-   * first is evicted.
+   * Limits the engines whose state is retained; more than are slow at the same time. When it is
+   * exceeded, the engine that was added first is evicted.
    */
   private static final int MAX_ENGINES = 4_096;
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/WaitPrediction.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/scheduling/WaitPrediction.java
@@ -22,7 +22,7 @@
   private boolean stream;
   private long nowNanos;
   private double meanMillis;
-  private int running;
+  private int totalRunning;
 
   /**
    * Creates a prediction.
@@ -42,17 +42,17 @@
   void begin(List<Engine> engines, boolean stream, long nowNanos) {
     this.stream = stream;
     this.nowNanos = nowNanos;
-    running = 0;
-    int known = 0;
+    totalRunning = 0;
+    int knownEngines = 0;
     double sumMillis = 0;
     for (Engine engine : engines) {
       if (known(engine)) {
-        known++;
-        running += running(engine);
+        knownEngines++;
+        totalRunning += running(engine);
         sumMillis += reportedMillis(engine);
       }
     }
-    meanMillis = known == 0 ? 0 : sumMillis / known;
+    meanMillis = knownEngines == 0 ? 0 : sumMillis / knownEngines;
   }
 
   /** Returns whether the load view has a current report of an engine. */
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Returns the predicted wait at an engine of known load for a request that is not bound to it, in
-   * milliseconds.
+   * Returns the predicted wait at an engine of known load, in milliseconds, for a request that
+   * loses no cached prompt by running at another engine.
    */
   double expectedMillis(Engine engine) {
     double reported = reportedMillis(engine);
@@ -77,7 +77,7 @@
       difference += Math.max(0, slots(engine) - engine.load().requests(nowNanos));
     }
     double arrivals =
-        (shorter ? running : running(engine)) * ageMillis(engine) / responseMillis(engine);
+        (shorter ? totalRunning : running(engine)) * ageMillis(engine) / responseMillis(engine);
     return difference >= arrivals || random.nextDouble() * arrivals < difference
         ? reported
         : meanMillis;
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/ServiceSimulation.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/admission/ServiceSimulation.java
@@ -133,8 +133,8 @@
       new Turn(this, nodes.get(node)).enqueue();
     }
 
-    private void turnEnded(Node at) {
-      at.admission.turnEnded(toString(), eventLoop.nanoTime());
+    private void turnEnded(Node servingNode) {
+      servingNode.admission.turnEnded(toString(), eventLoop.nanoTime());
       if (turn == turns) {
         finishedMillis = millis();
       } else {
@@ -148,7 +148,7 @@
   private final class Turn {
     private final Program program;
     private final Node node;
-    private int at;
+    private int engineIndex;
     private final long sentNanos = eventLoop.nanoTime();
 
     Turn(Program program, Node node) {
@@ -159,10 +159,10 @@
     void enqueue() {
       int firstChoice = random.nextInt(remainingEngines);
       int secondChoice = random.nextInt(remainingEngines);
-      at = load(firstChoice) <= load(secondChoice) ? firstChoice : secondChoice;
+      engineIndex = load(firstChoice) <= load(secondChoice) ? firstChoice : secondChoice;
       node.admission.requestSent("s", sentNanos);
-      engines.get(at).waiting.add(this);
-      serve(engines.get(at));
+      engines.get(engineIndex).waiting.add(this);
+      serve(engines.get(engineIndex));
     }
 
     void endWait() {
@@ -178,7 +178,7 @@
     }
 
     private void observeFirst() {
-      Engine engine = node.directory.ofService("s").get(at % node.directory.size());
+      Engine engine = node.directory.ofService("s").get(engineIndex % node.directory.size());
       double first = millis() - sentNanos / 1_000_000;
       double expected = engine.expectedFirstEventMillis(List.of());
       engine.performance().observeFirstEvent(0, first);
@@ -189,7 +189,7 @@
 
     private void end(EngineState state, double interEventMillis) {
       state.running--;
-      Engine engine = node.directory.ofService("s").get(at % node.directory.size());
+      Engine engine = node.directory.ofService("s").get(engineIndex % node.directory.size());
       for (int i = 1; i < EVENTS; i++) {
         engine.observeInterEventTime(interEventMillis);
       }
@@ -266,7 +266,7 @@
     }
   }
 
-  /** Schedules programs that ask to start, at random times within a period. */
+  /** Schedules programs that request to start, at random times within a period. */
   void demand(double perSecond, long forMillis) {
     demand("kind", 0, perSecond, forMillis);
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/EngineSimulation.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/EngineSimulation.java
@@ -138,9 +138,9 @@
     long now = nowMillis * 1_000_000;
     Engine chosen = selectors.get(node).choose(criteria, Set.of(), now).engine();
     chosen.requestStarted(now);
-    Request work = new Request(chosen, nowMillis, workMillis);
-    engines.get(directories.get(node).ofService("s").indexOf(chosen)).waiting.add(work);
-    return work;
+    Request request = new Request(chosen, nowMillis, workMillis);
+    engines.get(directories.get(node).ofService("s").indexOf(chosen)).waiting.add(request);
+    return request;
   }
 
   /** Advances the virtual time by one step. */
@@ -156,34 +156,34 @@
 
   private void advance(SimulatedEngine engine, boolean streams) {
     for (Iterator<Request> each = engine.running.iterator(); each.hasNext(); ) {
-      Request work = each.next();
-      work.remainingMillis -= STEP_MILLIS / engine.slowness;
+      Request request = each.next();
+      request.remainingMillis -= STEP_MILLIS / engine.slowness;
       if (streams) {
-        observeEvents(work);
+        observeEvents(request);
       }
-      if (work.remainingMillis <= 0) {
+      if (request.remainingMillis <= 0) {
         each.remove();
-        work.endedMillis = nowMillis;
-        work.engine.requestEnded(work.sentMillis * 1_000_000);
+        request.endedMillis = nowMillis;
+        request.engine.requestEnded(request.sentMillis * 1_000_000);
       }
     }
     while (engine.running.size() < slots && !engine.waiting.isEmpty()) {
-      Request work = engine.waiting.remove();
-      work.lastEventMillis = nowMillis;
-      engine.running.add(work);
+      Request request = engine.waiting.remove();
+      request.lastEventMillis = nowMillis;
+      engine.running.add(request);
       if (streams) {
-        work.engine.observeWait(nowMillis - work.sentMillis, nowMillis * 1_000_000);
+        request.engine.observeWait(nowMillis - request.sentMillis, nowMillis * 1_000_000);
       }
     }
   }
 
-  private void observeEvents(Request work) {
-    int events = (int) ((workMillis - Math.max(0, work.remainingMillis)) * EVENTS / workMillis);
-    if (events > work.events) {
-      work.engine.observeInterEventTime(
-          (nowMillis - work.lastEventMillis) / (double) (events - work.events));
-      work.events = events;
-      work.lastEventMillis = nowMillis;
+  private void observeEvents(Request request) {
+    int events = (int) ((workMillis - Math.max(0, request.remainingMillis)) * EVENTS / workMillis);
+    if (events > request.events) {
+      request.engine.observeInterEventTime(
+          (nowMillis - request.lastEventMillis) / (double) (events - request.events));
+      request.events = events;
+      request.lastEventMillis = nowMillis;
     }
   }
 
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSelectionByLoadView.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/scheduling/TestSelectionByLoadView.java
@@ -84,22 +84,21 @@
     assertTrue(atFirstEngine(sent, 12_000, 16_000) >= FAIR_SHARE / 2);
   }
 
-  /**
-   * Returns the part of the streams sent within a time that took at most twice their usual time.
-   */
+  /** Returns which part of the streams sent within a period ended within twice the usual time. */
   private static double inTime(List<Request> sent, long fromMillis, long toMillis) {
-    return part(sent, fromMillis, toMillis, work -> work.tookMillis() <= 800);
+    return part(sent, fromMillis, toMillis, request -> request.tookMillis() <= 800);
   }
 
   private static double atFirstEngine(List<Request> sent, long fromMillis, long toMillis) {
-    return part(sent, fromMillis, toMillis, work -> work.engineId().equals("e0"));
+    return part(sent, fromMillis, toMillis, request -> request.engineId().equals("e0"));
   }
 
   private static double part(
       List<Request> sent, long fromMillis, long toMillis, Predicate<Request> counted) {
     List<Request> within =
         sent.stream()
-            .filter(work -> work.sentMillis() >= fromMillis && work.sentMillis() < toMillis)
+            .filter(
+                request -> request.sentMillis() >= fromMillis && request.sentMillis() < toMillis)
             .toList();
     return (double) within.stream().filter(counted).count() / within.size();
   }
