--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/BudgetRow.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/BudgetRow.java
@@ -6,8 +6,8 @@
  * The stored row of a program's budget.
  *
  * @param grantedTokens the tokens granted to all processes together; never decreases
- * @param grantId identifies the last grant, so that its originator recognizes it after a lost
- *     response
+ * @param grantId identifies the last grant, so that the node that wrote it recognizes it after a
+ *     lost response
  */
 record BudgetRow(long grantedTokens, long grantId) {
   static final BudgetRow NONE = new BudgetRow(0, 0);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/GrantIds.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/GrantIds.java
@@ -1,6 +1,6 @@
 package org.baykeel.gateway.budget;
 
-/** Generates identifiers of grants from a random origin of the process and a counter. */
+/** Generates identifiers of grants by counting from a random number. */
 public final class GrantIds {
   private long next;
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/GrantSource.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/GrantSource.java
@@ -5,12 +5,12 @@
 import org.baykeel.gateway.program.ProgramId;
 
 /**
- * Transfers the remaining tokens of a program's grant from the process that holds them to a process
- * that takes the program over.
+ * Transfers the unused granted tokens of a program from the node that holds them to a node that
+ * takes the program over.
  */
 public interface GrantSource {
 
-  /** A source for a process without peers. */
+  /** A source for a node without peers. */
   GrantSource NONE =
       new GrantSource() {
         @Override
@@ -23,15 +23,15 @@
       };
 
   /**
-   * Requests the tokens that another process has remaining of a program's grant.
+   * Requests the unused granted tokens of a program from the node that holds them.
    *
-   * @param answer receives the tokens exactly once; empty if no process transfers any in time
+   * @param answer receives the tokens exactly once; empty if no node transfers any in time
    */
   void request(ProgramId program, Consumer<Optional<GrantTransfer>> answer);
 
   /**
-   * Announces that this process was the last to be granted tokens of a program, so that other
-   * processes may request them from it.
+   * Announces that this node now holds the granted tokens of a program, so that other nodes may
+   * request them from it.
    */
   void announceHolder(ProgramId program);
 }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ProgramAccount.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ProgramAccount.java
@@ -12,23 +12,24 @@
 import org.baykeel.gateway.storage.TransactionOutcome;
 
 /**
- * The tokens of one program at this process.
+ * The granted tokens of one program on this node.
  *
- * <p>Invariant: the row's granted tokens are at least the tokens that all processes have used or
- * may still use. A grant is made only while less than the budget is granted, so usage exceeds the
+ * <p>Invariant: the row's granted tokens are at least the tokens that all nodes have used or may
+ * still use. A grant is made only while less than the budget is granted, so usage exceeds the
  * budget by at most the largest number of tokens of one turn.
  */
 final class ProgramAccount {
   /**
-   * The fraction of the budget that is granted at once while the budget is far from exhausted. It
-   * saves calls to the store, and turns can continue during a store outage. A program also loses
-   * this fraction of its budget when the process that holds its tokens dies, so it may not be much
-   * larger.
+   * The fraction of the budget that is granted at once while the budget is far from exhausted.
+   * Granting ahead saves calls to the store, and turns can continue during a store outage. A
+   * program also loses up to this fraction of its budget when the node that holds its tokens dies,
+   * so the fraction may not be much larger.
    */
   private static final double AHEAD_FRACTION = 1.0 / 3;
 
   /**
-   * Grants ahead of need are made only below this fraction of the budget, so there are at most two.
+   * Grants ahead of need are made only if the granted tokens then do not exceed this fraction of
+   * the budget, so there are at most two.
    */
   private static final double MAX_AHEAD_FRACTION = 0.7;
 
@@ -42,16 +43,21 @@
   private final GrantSource source;
   private final ArrayDeque<Reservation> waiting = new ArrayDeque<>();
   private long budgetTokens;
+
+  /** The tokens granted to this node that no turn has reserved. */
   private long allowance;
+
   private BudgetRow row = BudgetRow.NONE;
   private long rowVersion = Transaction.ABSENT;
   private boolean rowKnown;
   private boolean startedHere;
 
-  /** Whether this process was the last to be granted tokens, as far as it can determine. */
+  /**
+   * Whether this node holds the program's tokens, from a grant or a transfer, as far as it knows.
+   */
   private boolean holder;
 
-  /** Whether other processes were queried since this process last released its tokens. */
+  /** Whether other nodes were queried since this node last released its tokens. */
   private boolean othersQueried;
 
   private boolean requestPending;
@@ -107,7 +113,7 @@
     return rowKnown;
   }
 
-  /** Returns whether this process made the program's first grant of all. */
+  /** Returns whether the store had no row of the program before this node's first grant. */
   boolean startedHere() {
     return startedHere;
   }
@@ -131,9 +137,9 @@
   }
 
   private boolean knownExhausted(int tokens) {
-    boolean othersMayHaveSome = !holder && !othersQueried;
+    boolean othersMayHaveTokens = !holder && !othersQueried;
     boolean allGranted = rowKnown && row.grantedTokens() >= budgetTokens;
-    return allGranted && allowance < tokens && !othersMayHaveSome;
+    return allGranted && allowance < tokens && !othersMayHaveTokens;
   }
 
   private void requestTokens() {
@@ -199,7 +205,7 @@
   }
 
   /**
-   * Releases the tokens that no turn of this process has reserved or waits for. They are deducted
+   * Releases the tokens that no turn of this node has reserved or waits for. They are deducted
    * before they are sent, so they count as spent if the response is lost.
    */
   Optional<GrantTransfer> release() {
@@ -255,8 +261,8 @@
   }
 
   /**
-   * Returns whether the row is the one that this process wrote: an earlier or duplicated copy of
-   * the call was applied.
+   * Returns whether the row is the one that this node wrote: an earlier or duplicated copy of the
+   * call was applied.
    */
   private static boolean ownGrant(BudgetRow requested, BudgetRow current) {
     return requested != null && requested.grantId() == current.grantId();
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ProgramBudgets.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ProgramBudgets.java
@@ -11,7 +11,7 @@
 import org.baykeel.gateway.storage.ReadOutcome;
 import org.baykeel.gateway.storage.RowAddress;
 
-/** The accounts of the programs that this process serves. */
+/** The accounts of the programs that this node serves. */
 public final class ProgramBudgets {
   private static final String TABLE = "budget";
   private static final String KEY = "granted";
@@ -26,7 +26,7 @@
   /**
    * Creates an empty set of accounts.
    *
-   * @param source transfers tokens that other processes have remaining of a program's grant
+   * @param source transfers the unused granted tokens of a program from other nodes
    */
   public ProgramBudgets(
       DurableStore store, EventLoop eventLoop, GrantIds grantIds, GrantSource source) {
@@ -40,8 +40,8 @@
    * Reserves the most tokens that a turn may generate. The decision may be available at once; if it
    * is pending, {@code onDecided} runs later.
    *
-   * @param giveUpNanos the time at which a turn that still waits fails as {@link
-   *     ReservationStatus#UNAVAILABLE}
+   * @param giveUpNanos the time from which a failed store call is not retried for this turn, which
+   *     then fails as {@link ReservationStatus#UNAVAILABLE}
    */
   public Reservation reserve(
       String program, long budgetTokens, int turnTokens, long giveUpNanos, Runnable onDecided) {
@@ -58,7 +58,7 @@
     return account != null && account.exhausted(budgetTokens, turnTokens);
   }
 
-  /** Returns whether this process has received the program's row, from the store or from a peer. */
+  /** Returns whether this node has received the program's row, from the store or from a peer. */
   public boolean isKnown(String program) {
     ProgramAccount account = accounts.get(program);
     return account != null && account.isKnown();
@@ -66,9 +66,9 @@
 
   /** Whether a program has started, according to the store. */
   public enum Started {
-    /** A process was granted tokens of the program. */
+    /** A node was granted tokens of the program. */
     YES,
-    /** No process was granted tokens of the program. */
+    /** No node was granted tokens of the program. */
     NO,
     /** The store did not respond. */
     UNKNOWN
@@ -91,17 +91,14 @@
         });
   }
 
-  /**
-   * Releases the tokens that this process has remaining of a program's grant, for use by another
-   * process.
-   */
+  /** Releases this node's unused granted tokens of a program, for use by another node. */
   public Optional<GrantTransfer> release(ProgramId program) {
     return Optional.ofNullable(accounts.get(program.value())).flatMap(ProgramAccount::release);
   }
 
   /**
    * Removes the accounts of programs that have had no reservation for {@code IDLE_EVICTION_NANOS}.
-   * Their rows remain in the store.
+   * Their rows remain in the store; their unused granted tokens are lost.
    */
   public void evictIdle() {
     long since = eventLoop.nanoTime() - IDLE_EVICTION_NANOS;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/Reservation.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/Reservation.java
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Sets whether a decision is only stored, without a callback, because the method that makes the
-   * reservation returns it.
+   * Sets whether a decision is stored without a callback. This is so while the method that makes
+   * the reservation runs, since it returns the reservation with the decision.
    */
   void suppressCallback(boolean suppress) {
     suppressCallback = suppress;
@@ -54,7 +54,7 @@
     status = decision;
   }
 
-  /** Returns whether the store had no row of the program before this process's first grant. */
+  /** Returns whether the store had no row of the program before this node's first grant. */
   public boolean programStartedHere() {
     return account.startedHere();
   }
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ReservationStatus.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/budget/ReservationStatus.java
@@ -2,7 +2,7 @@
 
 /** The state of the reservation of a turn's tokens. */
 public enum ReservationStatus {
-  /** The store has not responded yet. */
+  /** The store or a peer has not responded yet. */
   PENDING,
   /** The tokens are reserved for the turn. */
   GRANTED,
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/DeferredThread.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/DeferredThread.java
@@ -5,7 +5,7 @@
 
 /**
  * An executor that runs one long task, such as an event loop, on its own thread, but not before
- * {@link #start}. Until then the process has a single thread while it is being set up, which alone
+ * {@link #start}. Until then the thread that sets up the process is the only one, and it alone
  * loads classes, native libraries and files.
  */
 public final class DeferredThread implements Executor {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/EngineConnection.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/EngineConnection.java
@@ -34,8 +34,13 @@
   private Channel channel;
   private PendingExchange current;
   private ChannelFuture written;
+
+  /** Whether the responses so far allow another request on this connection. */
   private boolean reusable = true;
+
+  /** Whether the connection returns to the pool when the current read is complete. */
   private boolean releasable;
+
   private boolean responseStarted;
   private boolean skipping;
   private boolean informational;
@@ -61,6 +66,7 @@
     return channel.isActive() && nowNanos - idleUntilNanos < 0;
   }
 
+  /** Records that the connection is closed and returns whether this is the first call. */
   boolean markClosed() {
     boolean first = !closeRecorded;
     closeRecorded = true;
@@ -211,8 +217,7 @@
     // An idle connection has to read in order to detect that the engine closes it.
     resumeReading();
     // If the response came before the whole request was written, the rest is still to be sent and
-    // the
-    // connection cannot be reused.
+    // the connection cannot be reused.
     releasable = reusable && written.isDone() && channel.isActive() && !completed.cancelled();
     if (!releasable) {
       close();
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/HopByHopHeaders.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/HopByHopHeaders.java
@@ -8,7 +8,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The header fields that apply to one connection only and are never forwarded. */
+/**
+ * The header fields that are never forwarded: those that apply to one connection only, and those
+ * that the node sets or handles itself.
+ */
 public final class HopByHopHeaders {
   private static final Set<String> NAMES =
       Set.of(
@@ -26,7 +29,7 @@
 
   private HopByHopHeaders() {}
 
-  /** Returns a copy of the fields without those that apply to their connection only. */
+  /** Returns a copy of the fields without those that are never forwarded. */
   public static HttpHeaders copyWithout(HttpHeaders headers) {
     Set<String> named = namedByConnection(headers);
     HttpHeaders copy = new DefaultHttpHeaders(false);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/HttpLoadReportClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/HttpLoadReportClient.java
@@ -31,8 +31,8 @@
   private static final int OK = 200;
 
   /**
-   * Lowest status of a temporary failure: an engine that fails or starts responds so for a while
-   * and has reports afterwards.
+   * The lowest status of a temporary failure. An engine that fails or starts responds with such a
+   * status for some time and returns reports afterwards.
    */
   private static final int SERVER_ERROR = 500;
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/IngressConnection.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/IngressConnection.java
@@ -279,11 +279,11 @@
   }
 
   @Override
-  public void respond(ResponseHead answerHead, byte[] bytes) {
+  public void respond(ResponseHead responseHead, byte[] bytes) {
     HttpResponse response =
         new DefaultHttpResponse(
-            HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(answerHead.status()));
-    response.headers().add(answerHead.headers());
+            HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(responseHead.status()));
+    response.headers().add(responseHead.headers());
     writeWhole(response, bytes);
   }
 
@@ -304,11 +304,11 @@
   }
 
   @Override
-  public void startStream(ResponseHead answerHead) {
+  public void startStream(ResponseHead responseHead) {
     HttpResponse response =
         new DefaultHttpResponse(
-            HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(answerHead.status()));
-    response.headers().add(answerHead.headers());
+            HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(responseHead.status()));
+    response.headers().add(responseHead.headers());
     HttpUtil.setTransferEncodingChunked(response, true);
     keepAlive = prepareConnection(response.headers());
     context.write(response);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/IngressServer.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/IngressServer.java
@@ -30,10 +30,10 @@
   private static final int MAX_CHUNK_BYTES = 65_536;
 
   /**
-   * Slack for the decoder, which limits the request line and the header fields separately, whereas
-   * the configured limit is for both together.
+   * The bytes added to the configured limit in the decoder, which limits the request line and the
+   * header fields separately, whereas the configured limit is for both together.
    */
-  private static final int LIMIT_SLACK_BYTES = 512;
+  private static final int EXTRA_HEADER_BYTES = 512;
 
   private final CallCoordinator coordinator;
   private final CallTranslator translator;
@@ -90,7 +90,7 @@
   }
 
   private void accept(SocketChannel channel) {
-    int headerBytes = limits().maxHeaderBytes() + LIMIT_SLACK_BYTES;
+    int headerBytes = limits().maxHeaderBytes() + EXTRA_HEADER_BYTES;
     HttpDecoderConfig config =
         new HttpDecoderConfig()
             .setMaxInitialLineLength(headerBytes)
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/NettyEngineTransport.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/NettyEngineTransport.java
@@ -73,7 +73,7 @@
     if (idle != null) {
       idle.send(exchange);
     } else if (pool.open() >= MAX_CONNECTIONS_PER_ENGINE) {
-      // The listener must not be called before the caller has received the exchange.
+      // The listener must not be called before this method has returned the exchange.
       group
           .next()
           .execute(() -> exchange.fail(Failure.NOT_SENT, "connection limit of the engine reached"));
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/PendingExchange.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/PendingExchange.java
@@ -20,10 +20,10 @@
     /**
      * Called when a request was cancelled on a silent connection.
      *
-     * @param connections the pool of the engine
+     * @param pool the pool of the engine
      * @param millis the time without a byte, in milliseconds
      */
-    void onSilent(EngineConnectionPool connections, long millis);
+    void onSilent(EngineConnectionPool pool, long millis);
   }
 
   PendingExchange(
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/http/PooledHttpClient.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/http/PooledHttpClient.java
@@ -44,7 +44,7 @@
   private final ArrayDeque<Connection> idle = new ArrayDeque<>();
 
   /**
-   * Creates a client of the store without connections.
+   * Creates a client of the store, with no connection yet.
    *
    * @param group the event loop
    * @param address the only address that it connects to
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineSuspicionNotifier.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/EngineSuspicionNotifier.java
@@ -13,8 +13,8 @@
  * notices of other nodes, so that not every node has to lose requests at a failed engine.
  *
  * <p>A notice of another node has effect for a short time and only on requests that may run at most
- * once. If only the sender cannot reach the engine, that is all the harm its notice can do. Notices
- * are not forwarded.
+ * once. So a notice does no further harm if only its sender cannot reach the engine. Notices are
+ * not forwarded.
  */
 public final class EngineSuspicionNotifier implements EngineSuspicionListener, PeerMessageListener {
   private static final long BYTES_PER_SECOND = 8_192;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerAddress.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerAddress.java
@@ -33,7 +33,8 @@
   }
 
   /**
-   * Explicit, because the generated methods of a record are linked at run time and slow startup.
+   * Implemented by hand because the generated methods of a record are linked at run time, which
+   * delays each process start.
    */
   @Override
   public boolean equals(Object other) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerDirectory.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerDirectory.java
@@ -25,8 +25,8 @@
 /**
  * The peers to which this node sends datagrams. On start a node writes its address to the store,
  * reads the addresses of the other nodes once, and announces itself to them; nodes that start later
- * announce themselves to it. Correctness does not depend on a complete list: messages between peers
- * only save requests.
+ * announce themselves to it. Correctness does not depend on a complete list: the messages to its
+ * peers only save requests to engines and calls to the store.
  *
  * <p>Each node also publishes its zone, so that others can prefer the peers in their own region. If
  * there are several regions, a peer whose zone is not known yet counts as one of another region.
@@ -147,7 +147,7 @@
   }
 
   /**
-   * Adds the sender of a message, with an unknown zone if it is new.
+   * Adds the sender of a message with an unknown zone, unless the sender is already known.
    *
    * @param peer the address of the sender
    */
@@ -200,8 +200,8 @@
     if (ownRowVersion == Transaction.ABSENT) {
       return;
     }
-    // The expected version keeps a delayed copy of this removal from deleting the row of the next
-    // start.
+    // The expected version keeps a delayed copy of this removal from deleting the row that the
+    // next start writes.
     Transaction removal =
         new Transaction(
             List.of(new Transaction.Expectation(ownRow, ownRowVersion)),
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessage.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessage.java
@@ -20,7 +20,8 @@
   record NodeAnnouncement(String zone) implements PeerMessage {}
 
   /**
-   * Reports that an engine has become suspect at the sender after several failed requests in a row.
+   * Notifies a peer that an engine has become suspect at the sender after several failed requests
+   * in a row.
    *
    * @param engineId the engine
    */
@@ -93,7 +94,7 @@
    * @param firstTurnsAllowed whether the tokens may be used for first turns
    * @param retryMillis the time in milliseconds until tokens are available or, if tokens were
    *     granted, until they may be used
-   * @param remaining the tokens that remain in the bucket
+   * @param remaining the tokens that remain in the bucket; negative if tokens are owed
    * @param use the tenant's demand in relation to its limit, as measured by the sender
    * @param proof the proof of the sender's configuration version, if it has one
    */
@@ -108,16 +109,16 @@
       Optional<ConfigurationProof> proof)
       implements PeerMessage {
 
-    /** Returns a copy with a current proof of the sender's configuration version. */
+    /** Returns a copy with the given proof of the sender's configuration version, if any. */
     public LimitTokenReply withProof(Optional<ConfigurationProof> own) {
       return new LimitTokenReply(
           correlationId, outcome, tokens, firstTurnsAllowed, retryMillis, remaining, use, own);
     }
 
     /** Returns the reply of a node that does not hold the tenant's token bucket. */
-    public static LimitTokenReply notHeld(long questionId) {
+    public static LimitTokenReply notHeld(long correlationId) {
       return new LimitTokenReply(
-          questionId,
+          correlationId,
           LimitTokenOutcome.NOT_HELD,
           0,
           false,
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessageDispatcher.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/peer/PeerMessageDispatcher.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** Decodes datagrams of peers and passes the messages to listeners; drops all other datagrams. */
+/**
+ * Decodes datagrams of peers and passes the messages to listeners; drops datagrams that cannot be
+ * decoded.
+ */
 public final class PeerMessageDispatcher implements PeerTransport.Receiver {
   private final PeerMessageCodec codec;
   private final PeerDirectory peers;
@@ -27,12 +30,12 @@
         .decode(datagram)
         .ifPresent(
             message -> {
-              noteSender(sender, message);
+              recordSender(sender, message);
               listeners.forEach(listener -> listener.onMessage(sender, message));
             });
   }
 
-  private void noteSender(PeerAddress sender, PeerMessage message) {
+  private void recordSender(PeerAddress sender, PeerMessage message) {
     if (message instanceof PeerMessage.NodeAnnouncement announcement) {
       peers.onAnnouncement(sender, announcement.zone());
     } else {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/LimitBounds.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/LimitBounds.java
@@ -6,7 +6,8 @@
  * @param holdMillis how long a node that requested a token may retain it before use, in
  *     milliseconds
  * @param extraTokens tokens that a full bucket holds in addition to the tenant's burst
- * @param takeoverTokens tokens in a tenant's bucket when another node takes it over
+ * @param takeoverTokens tokens in a tenant's bucket when a new holder takes it over, before the
+ *     tokens that the previous holder may have lent are deducted
  */
 public record LimitBounds(long holdMillis, double extraTokens, double takeoverTokens) {
   /**
@@ -17,15 +18,16 @@
   private static final double OVERAGE_FRACTION = 0.8;
 
   /**
-   * Requests of a slow tenant arrive in bursts, and its configured burst may be smaller than one of
-   * them.
+   * The fraction of the operator's slack by which a bucket is larger than the tenant's burst.
+   * Requests of a tenant with a low limit arrive in bursts, and its configured burst may be smaller
+   * than one of them.
    */
   private static final double EXTRA_FRACTION_OF_SLACK = 0.4;
 
   /**
-   * A bucket may change its holder four times within a window, and the last holder may have emptied
-   * it immediately before, so each takeover grants only this fraction of the operator's slack. The
-   * remaining slack is for requests that were in progress while a process was paused.
+   * A bucket may change its holder four times within a window, and the previous holder may have
+   * emptied it immediately before, so each takeover grants only this fraction of the operator's
+   * slack. The remaining slack is for requests that were in progress while a process was paused.
    */
   private static final double TAKEOVER_FRACTION_OF_SLACK = 0.1;
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/LimitedRequest.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/LimitedRequest.java
@@ -17,8 +17,8 @@
   static final int NO_PROGRAM = 0;
 
   /**
-   * Returns a number that is the same for all requests of a program and rarely collides with that
-   * of another program.
+   * Returns a hash of the program, which rarely collides with that of another program, or {@link
+   * #NO_PROGRAM}.
    */
   int programHash() {
     return program.map(id -> StableHash.of(id.value())).orElse(NO_PROGRAM);
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionBuckets.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionBuckets.java
@@ -18,17 +18,15 @@
    */
   private static final double MAX_SLICE_FRACTION = 0.25;
 
-  /**
-   * The largest number of started programs that is remembered; the least recently used are evicted.
-   */
+  /** The most programs whose last grant time is retained; the least recently used are evicted. */
   private static final int MAX_PROGRAMS = 4_096;
 
   /** The shortest retry delay of a refused first turn. */
   private static final long MIN_FIRST_TURN_RETRY_MILLIS = 150;
 
   /**
-   * The longest retry delay of a refused first turn. The reserve that a new program must leave
-   * shrinks as other programs finish, so longer estimates are too high.
+   * The longest retry delay of a refused first turn. The reserve that a first turn must leave in
+   * the bucket shrinks as other programs finish, so longer estimates are too high.
    */
   private static final long MAX_FIRST_TURN_RETRY_MILLIS = 2_000;
 
@@ -46,7 +44,7 @@
         }
       };
 
-  /** A tenant's bucket and the programs that run on it. */
+  /** A tenant's bucket and the estimate of its running programs. */
   private record Account(TokenBucket bucket, RunningPrograms programs) {
     void advance(RateLimit limit, long nowNanos) {
       bucket.advance(limit, nowNanos);
@@ -83,7 +81,7 @@
    *     querying node
    * @param programHash the hash of the request's program; a program that has started on another
    *     node is recognized by it
-   * @param wanted how many tokens are requested; a single token is a sufficient result
+   * @param wanted the most tokens that are useful; one is enough
    */
   TokenDecision decide(
       Tenant tenant, RequestKind requested, int programHash, int wanted, long nowNanos) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionLeases.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionLeases.java
@@ -31,16 +31,15 @@
   static final String TABLE = "limit";
 
   /**
-   * How long a lease lasts. With a longer lease, tenants of a dead holder wait longer. With a
-   * shorter lease, a store outage stops tenants that could still be served, since their keys remain
-   * valid for about as long.
+   * How long a lease lasts. With a longer lease, the tenants of a dead holder wait longer for a new
+   * one. With a shorter lease, requests of tenants with limits stop earlier in a store outage than
+   * they need to, since API keys remain valid in an outage for about as long as this lease.
    */
   static final long LEASE_MILLIS = 4_000;
 
   /**
-   * The interval between renewals. It is shorter than the safety of a lease requires, because the
-   * remaining lease time at the start of a store outage is how long tenants with limits are served
-   * during the outage.
+   * The interval between renewals. It is shorter than is necessary to keep a lease, because tenants
+   * with limits are served in a store outage only for the lease time that remained at its start.
    */
   private static final long RENEW_MILLIS = 600;
 
@@ -54,17 +53,16 @@
   private static final long REREAD_MILLIS = 300;
 
   /**
-   * The additional delay of each node relative to the one before it in the order for a free
-   * partition. It covers a read and a write of the store, so that later nodes see what earlier ones
-   * have written.
+   * The delay per rank after which a node takes a free partition. It covers a read and a write of
+   * the store, so that a node sees what the nodes that rank before it have written.
    */
   private static final long WAIT_MILLIS_PER_RANK = 25;
 
   private static final int MAX_RANK = 12;
 
   /**
-   * The delay after a start until this node acquires its share of the partitions. By then the other
-   * nodes are known, so that free partitions are spread evenly.
+   * The delay after a start until this node acquires the free partitions for which it ranks first.
+   * By then the other nodes are known, so that free partitions are spread evenly.
    */
   private static final long FIRST_ACQUIRE_MILLIS = 2_500;
 
@@ -73,7 +71,7 @@
   private final DurableStore store;
   private final StoreClock clock;
   private final EventLoop eventLoop;
-  private final ToIntFunction<LimitPartition> rank;
+  private final ToIntFunction<LimitPartition> rankOfSelf;
   private final GatewayLog log;
   private final Map<LimitPartition, Partition> partitions = new LinkedHashMap<>();
   private boolean refreshing;
@@ -115,7 +113,7 @@
    * @param self the address at which the other nodes reach this one
    * @param clock this node's estimate of the store's clock
    * @param incarnation a random number that identifies this run of the process
-   * @param rank this node's position, from 0, in the order in which nodes take a free partition
+   * @param rankOfSelf this node's rank, from 0, in the order in which nodes take a free partition
    */
   public PartitionLeases(
       PeerAddress self,
@@ -123,13 +121,13 @@
       StoreClock clock,
       EventLoop eventLoop,
       long incarnation,
-      ToIntFunction<LimitPartition> rank,
+      ToIntFunction<LimitPartition> rankOfSelf,
       GatewayLog log) {
     this.self = self;
     this.store = store;
     this.clock = clock;
     this.eventLoop = eventLoop;
-    this.rank = rank;
+    this.rankOfSelf = rankOfSelf;
     this.log = log;
     this.incarnation = incarnation;
     for (int i = 0; i < LimitPartition.COUNT; i++) {
@@ -150,7 +148,7 @@
 
   private void acquireOwnShare() {
     for (Partition partition : partitions.values()) {
-      if (rank.applyAsInt(partition.id) == 0) {
+      if (rankOfSelf.applyAsInt(partition.id) == 0) {
         requestLease(partition.id);
       }
     }
@@ -230,7 +228,7 @@
     }
   }
 
-  /** Applies a row unless a newer version of it is known. */
+  /** Applies a row unless this version of it or a newer one is known. */
   private void adopt(StoredRow stored) {
     if (stored.removed() || !LimitPartition.isPartitionKey(stored.address().key())) {
       return;
@@ -258,18 +256,18 @@
       return;
     }
     partition.requested = false;
-    int position = Math.min(MAX_RANK, rank.applyAsInt(partition.id));
-    if (own || delayOver || position == 0) {
+    int rank = Math.min(MAX_RANK, rankOfSelf.applyAsInt(partition.id));
+    if (own || delayOver || rank == 0) {
       write(partition);
       return;
     }
     partition.delayed = true;
-    eventLoop.schedule(position * WAIT_MILLIS_PER_RANK, () -> onDelayOver(partition));
+    eventLoop.schedule(rank * WAIT_MILLIS_PER_RANK, () -> onDelayOver(partition));
   }
 
   /**
-   * Called when the nodes before this one have had their time. Reads the rows to find out whether
-   * one of them has taken the lease.
+   * Called after this node has waited for the nodes that rank before it. Reads the rows to
+   * determine whether one of them has taken the lease.
    */
   private void onDelayOver(Partition partition) {
     partition.delayed = false;
@@ -309,14 +307,14 @@
       Partition partition, LeaseRow written, long untilNanos, TransactionOutcome outcome) {
     partition.writing = false;
     if (outcome instanceof TransactionOutcome.Applied applied) {
-      onAcquired(partition, written, untilNanos, applied.version());
+      onApplied(partition, written, untilNanos, applied.version());
     } else if (outcome instanceof TransactionOutcome.Conflict conflict) {
       conflict.rows().forEach(this::adopt);
       onConflict(partition);
     }
   }
 
-  private void onAcquired(Partition partition, LeaseRow written, long untilNanos, long version) {
+  private void onApplied(Partition partition, LeaseRow written, long untilNanos, long version) {
     LeaseRow previous = partition.row;
     boolean continuous =
         partition.tenure != null && previous != null && previous.incarnation() == incarnation;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionOrder.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/PartitionOrder.java
@@ -7,8 +7,8 @@
 import org.baykeel.gateway.peer.RendezvousOrder;
 
 /**
- * This node's position in the order in which nodes take a free partition. If several nodes compute
- * the same position, the conditional write to the store decides between them.
+ * This node's rank in the order in which nodes take a free partition. If several nodes compute the
+ * same rank, the conditional write to the store decides between them.
  */
 public final class PartitionOrder implements ToIntFunction<LimitPartition> {
   private final RendezvousOrder order;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RequestKind.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RequestKind.java
@@ -1,8 +1,8 @@
 package org.baykeel.gateway.ratelimit;
 
 /**
- * The kind of a request, which determines the order in which requests of a tenant above its limit
- * get tokens.
+ * The kind of a request, which determines how many tokens it must leave in the bucket of a tenant
+ * that is above its limit.
  */
 public enum RequestKind {
   /**
@@ -27,7 +27,8 @@
   private static final double RESERVED_FRACTION = 0.5;
 
   /**
-   * Returns the tokens that must remain in the bucket of a tenant that is above its limit.
+   * Returns the tokens that must remain after the request in the bucket of a tenant that is above
+   * its limit.
    *
    * @param capacity the tokens in a full bucket
    */
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RequestLimiter.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RequestLimiter.java
@@ -27,11 +27,12 @@
      * The tenant is above its limit.
      *
      * @param retryMillis the delay in milliseconds after which a retry may succeed
-     * @param remaining tokens that remain in the bucket but are reserved for other requests
+     * @param remaining the tokens that remain in the bucket but are not available to this request;
+     *     negative if tokens are owed
      */
     record Exceeded(long retryMillis, double remaining) implements Decision {}
 
-    /** The node that holds the tenant's bucket could not be queried in time. */
+    /** No node that holds the tenant's bucket decided in time. */
     record Undecided() implements Decision {}
   }
 
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RunningPrograms.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/RunningPrograms.java
@@ -7,8 +7,8 @@
  * <p>A program requests few tokens at its start and the rest later, so the remaining tokens do not
  * show whether the limit suffices for another program. The limiter therefore uses the number of
  * running programs times the tokens that each of them usually takes. A program counts as one when
- * it is granted tokens, and its weight decays from then on, so programs that have finished drop out
- * without a notice.
+ * it is granted tokens, and its weight decays from then on, so finished programs stop counting
+ * without a message about their end.
  */
 final class RunningPrograms {
   /**
@@ -21,9 +21,9 @@
   private static final double AVERAGING_NANOS = 20e9;
 
   /**
-   * The remaining time of a program relative to the average duration. Programs that started in a
-   * burst have nearly all of their time ahead of them, and the average duration is underestimated
-   * while more programs start than finish.
+   * The assumed remaining time of a running program relative to the average duration. Programs that
+   * started in a burst have nearly their whole duration remaining, and the average duration is
+   * underestimated while more programs start than finish.
    */
   private static final double REMAINING_PART_OF_DURATION = 1.5;
 
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Returns for how long programs continue to make requests. By Little's law the average duration
-   * is the average number of running programs divided by the rate of starts.
+   * Returns how long a running program is assumed to continue to make requests. By Little's law the
+   * average duration is the average number of running programs divided by the rate of starts.
    */
   private double remainingSeconds() {
     double durationSeconds = startsPerSecond > 0 ? averagedRunning / startsPerSecond : 0;
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/SharedRequestLimiter.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/SharedRequestLimiter.java
@@ -30,16 +30,16 @@
  */
 public final class SharedRequestLimiter implements RequestLimiter, PeerMessageListener {
   /**
-   * The base delay until a query is sent again: the processing time of a slow node. The round trip
-   * to the holder is added.
+   * The processing time of a slow node. A query is sent again after this delay times the number of
+   * sends so far, plus the round trip to the holder.
    */
-  private static final long FIRST_RETRY_MILLIS = 30;
+  private static final long RETRY_MILLIS_PER_SEND = 30;
 
-  /** The delay between attempts while no node holds the partition. */
+  /** The delay until a request proceeds again while no node holds the partition. */
   private static final long NO_HOLDER_RETRY_MILLIS = 20;
 
-  /** The number of unanswered attempts after which the lease rows are read again. */
-  private static final int ATTEMPTS_BEFORE_REREAD = 2;
+  /** The number of sends of a query without a reply after which the lease rows are read again. */
+  private static final int SENDS_BEFORE_REREAD = 2;
 
   /** The fraction of the hold time for which a slice should last. */
   private static final double SLICE_FRACTION_OF_HOLD = 0.5;
@@ -48,8 +48,8 @@
   private static final int MAX_SLICE = 64;
 
   /**
-   * The number of sent replies that are retained, so that a duplicated query receives the same
-   * reply.
+   * The most replies that are retained of those that grant tokens, so that a duplicated query
+   * receives the same reply.
    */
   private static final int MAX_SENT_REPLIES = 512;
 
@@ -153,8 +153,8 @@
   }
 
   /**
-   * Starts to take part in holding buckets, unless that has happened already. This costs calls to
-   * the store, so it happens only if some tenant has a limit.
+   * Starts to read and acquire the leases of partitions, unless already started. Leases cost calls
+   * to the store, so a node starts only if some tenant has a limit.
    */
   public void start() {
     if (!started) {
@@ -271,7 +271,7 @@
         Optional.empty());
   }
 
-  /** A request that waits for a token. */
+  /** The query of one request for a token from its own or another node's bucket. */
   private final class TokenQuery {
     private final long id;
     private final LimitedRequest request;
@@ -281,7 +281,7 @@
     private final long endNanos;
     private PeerAddress queriedHolder;
     private long firstSentNanos;
-    private int attempts;
+    private int sends;
     private EventLoop.Timer retry;
 
     TokenQuery(
@@ -313,7 +313,7 @@
       }
       queries.put(id, this);
       Optional<PeerAddress> holder = leases.holder(partition);
-      if (holder.isEmpty() || attempts >= ATTEMPTS_BEFORE_REREAD) {
+      if (holder.isEmpty() || sends >= SENDS_BEFORE_REREAD) {
         leases.requestLease(partition);
       }
       if (holder.isPresent()) {
@@ -328,14 +328,14 @@
         queriedHolder = holder;
         firstSentNanos = eventLoop.nanoTime();
       }
-      attempts++;
+      sends++;
       boolean firstTurn = request.kind() == RequestKind.FIRST_TURN;
       transport.send(
           holder,
           codec.encode(
               new PeerMessage.LimitTokenRequest(
                   id, wanted, firstTurn, request.programHash(), request.tenant().id())));
-      retryIn(FIRST_RETRY_MILLIS * attempts + peerLatency.roundTripMillis(holder));
+      retryIn(RETRY_MILLIS_PER_SEND * sends + peerLatency.roundTripMillis(holder));
     }
 
     private void retryIn(long millis) {
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/TokenBucket.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/TokenBucket.java
@@ -6,14 +6,14 @@
 /**
  * A token bucket that refills at a fixed rate.
  *
- * <p>Invariant: in any period no more tokens are usable than the bucket held at its start plus the
- * rate times its length. A lent token is one that the rate has not supplied yet; it becomes usable
- * only when the rate has supplied it.
+ * <p>Invariant: in any period no more tokens are usable than the bucket held at the start of the
+ * period plus the rate times the length of the period. A lent token is one that the rate has not
+ * supplied yet; it becomes usable only when the rate has supplied it.
  */
 final class TokenBucket {
   /**
    * The span over which the demand is averaged; it is long compared with the intervals between
-   * requests of a slow tenant.
+   * requests of a tenant with a low limit.
    */
   private static final double DEMAND_AVERAGING_NANOS = 1e9;
 
@@ -39,7 +39,7 @@
    * Creates a bucket.
    *
    * @param extraTokens tokens that a full bucket holds in addition to the limit's burst
-   * @param tokens the initial tokens; capped at the capacity
+   * @param tokens the initial tokens, of which at most the capacity is used
    */
   TokenBucket(RateLimit limit, double extraTokens, double tokens, long nowNanos) {
     this.limit = limit;
@@ -127,8 +127,8 @@
    */
   LimitUse use() {
     double allowed = limit.requestsPerSecond() * (DEMAND_AVERAGING_NANOS * 1e-9);
-    double certain = demand - DEVIATIONS * Math.sqrt(allowed);
-    return new LimitUse(Math.max(Math.min(demand, allowed), certain) / allowed);
+    double beyondChance = demand - DEVIATIONS * Math.sqrt(allowed);
+    return new LimitUse(Math.max(Math.min(demand, allowed), beyondChance) / allowed);
   }
 
   /**
--- a/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/TokenSlice.java
+++ b/baykeel-gateway/src/main/java/org/baykeel/gateway/ratelimit/TokenSlice.java
@@ -31,16 +31,18 @@
    *
    * @param expires when the added tokens expire; unused tokens of the slice may expire earlier
    *     because of it
+   * @param newFirstTurnsAllowed whether first turns may use the tokens of the slice, earlier ones
+   *     included
    * @param newUse the tenant's current demand relative to its limit
    * @return the number of expired tokens, which are lost
    */
-  int add(int added, long expires, boolean allowed, LimitUse newUse, long nowNanos) {
+  int add(int added, long expires, boolean newFirstTurnsAllowed, LimitUse newUse, long nowNanos) {
     use = newUse;
     boolean expired = nowNanos - expiresNanos >= 0;
     int lost = expired ? tokens : 0;
     expiresNanos = expired || tokens == 0 || expires - expiresNanos < 0 ? expires : expiresNanos;
     tokens = added + (expired ? 0 : tokens);
-    firstTurnsAllowed = allowed;
+    firstTurnsAllowed = newFirstTurnsAllowed;
     return lost;
   }
 }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/budget/TestProgramBudgets.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/budget/TestProgramBudgets.java
@@ -206,8 +206,8 @@
   }
 
   /**
-   * A part of the budget is lost with each holder that dies; after two of them the program must
-   * have some left.
+   * A third of the budget is lost with each holder that dies; after two of them the program must be
+   * able to use the remaining third.
    */
   @Test
   void twoHoldersThatDieLeaveAThirdOfTheBudget() {
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/LoopbackGateway.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/LoopbackGateway.java
@@ -121,7 +121,7 @@
     return onLoop(held::totalBytes);
   }
 
-  /** Returns the number of calls whose engines are not read. */
+  /** Returns the number of calls for which reading from the engine is paused. */
   long paused() throws Exception {
     return onLoop(held::pausedCalls);
   }
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestIngressConnection.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestIngressConnection.java
@@ -25,7 +25,7 @@
 
 /** Sends raw bytes of callers to a complete node on loopback, with a scripted engine behind it. */
 class TestIngressConnection {
-  private static final String ANSWER =
+  private static final String RESPONSE =
       "HTTP/1.1 200 OK\r\nX-Id: r1\r\nX-Signed: s\r\nContent-Length: 4\r\n\r\nbody";
   private static final int TIMEOUT_MILLIS = 20_000;
   private static final int LONG_BODY = 16 << 20;
@@ -37,7 +37,7 @@
 
   @BeforeEach
   void start() throws IOException {
-    engine = new ScriptedEngine(new Response(ANSWER, After.KEEP));
+    engine = new ScriptedEngine(new Response(RESPONSE, After.KEEP));
     Route route =
         new Route(
             "r",
@@ -126,9 +126,9 @@
 
   @Test
   void refusesHeadersBeyondTheLimit() throws IOException {
-    String long431 = "X-Long: " + "a".repeat(3_000);
+    String longField = "X-Long: " + "a".repeat(3_000);
     String response =
-        exchangeToEnd("POST /p/x HTTP/1.1\r\nHost: h\r\nX-Id: r1\r\n" + long431 + "\r\n\r\n");
+        exchangeToEnd("POST /p/x HTTP/1.1\r\nHost: h\r\nX-Id: r1\r\n" + longField + "\r\n\r\n");
     assertTrue(response.startsWith("HTTP/1.1 431"), response);
   }
 
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSilentConnections.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSilentConnections.java
@@ -49,7 +49,7 @@
  * are open, without closing them, while new connections work.
  */
 class TestSilentConnections {
-  private static final ScriptedEngine.Response ANSWER =
+  private static final ScriptedEngine.Response RESPONSE =
       new ScriptedEngine.Response(
           "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=60\r\nContent-Length: 2\r\n\r\nok",
           ScriptedEngine.After.KEEP);
@@ -105,7 +105,7 @@
 
   @Test
   void closesTheIdleConnectionsToAnEngineAfterOneStayedSilent() throws Exception {
-    try (ScriptedEngine server = new ScriptedEngine(ANSWER);
+    try (ScriptedEngine server = new ScriptedEngine(RESPONSE);
         SilencingProxy proxy = new SilencingProxy(server.port())) {
       EngineDirectory directory = new EngineDirectory(1);
       directory.put(new EngineRecord("e", "s", "127.0.0.1", proxy.port(), "z", 4, false));
@@ -145,7 +145,7 @@
 
   @Test
   void closesTheIdleConnectionsToTheStoreAfterOneStayedSilent() throws Exception {
-    try (ScriptedEngine server = new ScriptedEngine(ANSWER);
+    try (ScriptedEngine server = new ScriptedEngine(RESPONSE);
         SilencingProxy proxy = new SilencingProxy(server.port())) {
       PooledHttpClient storeClient =
           new PooledHttpClient(
@@ -194,8 +194,8 @@
     var bound = new LinkServer(SERVICES).listen(group, any).syncUninterruptibly();
     int port = ((InetSocketAddress) bound.channel().localAddress()).getPort();
     // Long enough for a response on a busy machine.
-    PeerLatency distance = peer -> 1_000;
-    LinkClient client = new LinkClient(group, distance, (event, fields) -> events.add(event));
+    PeerLatency latency = peer -> 1_000;
+    LinkClient client = new LinkClient(group, latency, (event, fields) -> events.add(event));
     try (SilencingProxy proxy = new SilencingProxy(port)) {
       PeerAddress peer = new PeerAddress("127.0.0.1", proxy.port());
       assertTrue(grant(client, peer).isPresent());
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSlowCallers.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/http/TestSlowCallers.java
@@ -37,7 +37,7 @@
   private static final long CALL_BYTES = 256 << 10;
   private static final int EVENT_BYTES = 1_024;
   private static final int EVENTS = 32 << 10;
-  private static final long ANSWER_BYTES = (long) EVENT_BYTES * EVENTS;
+  private static final long RESPONSE_BYTES = (long) EVENT_BYTES * EVENTS;
 
   /** More than the buffers of all sockets in between hold, at most half of the response. */
   private static final long SOCKETS_BYTES = 16 << 20;
@@ -124,7 +124,7 @@
           "HTTP/1.1 200 OK\r\nX-Id: r1\r\nX-Signed: s\r\nContent-Type: "
               + type
               + "\r\nContent-Length: "
-              + ANSWER_BYTES
+              + RESPONSE_BYTES
               + "\r\n\r\n";
       out.write(head.getBytes(StandardCharsets.US_ASCII));
       for (int i = 1; i <= EVENTS; i++) {
@@ -177,7 +177,7 @@
   private static byte[] readBody(Socket socket, String head) throws IOException {
     InputStream in = new BufferedInputStream(socket.getInputStream(), 1 << 16);
     if (!head.toLowerCase(Locale.ROOT).contains("transfer-encoding: chunked")) {
-      return in.readNBytes((int) ANSWER_BYTES);
+      return in.readNBytes((int) RESPONSE_BYTES);
     }
     ByteArrayOutputStream body = new ByteArrayOutputStream();
     while (true) {
@@ -207,7 +207,7 @@
   }
 
   private static void assertWhole(byte[] body) {
-    assertEquals(ANSWER_BYTES, body.length);
+    assertEquals(RESPONSE_BYTES, body.length);
     for (int i = 1; i <= EVENTS; i += 997) {
       byte[] expected = event(i);
       int from = (i - 1) * EVENT_BYTES;
@@ -243,11 +243,11 @@
   void deliversACompleteResponseAfterItsEngineHasFinished() throws Exception {
     start(RouteKind.UNSAFE, new HeldBytesLimiter.Bounds(CALL_BYTES, 8 << 20, 5_000));
     Socket caller = call();
-    await(() -> engineWrote.get() == ANSWER_BYTES);
+    await(() -> engineWrote.get() == RESPONSE_BYTES);
     engine.close();
     await(() -> gateway.heldBytes() > CALL_BYTES);
     readHead(caller.getInputStream());
-    byte[] body = new byte[(int) ANSWER_BYTES];
+    byte[] body = new byte[(int) RESPONSE_BYTES];
     int read = 0;
     while (read < body.length) {
       Thread.sleep(read < 3 * (4 << 20) ? 100 : 0);
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestEngineSuspicionNotifier.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/peer/TestEngineSuspicionNotifier.java
@@ -52,12 +52,12 @@
               codec,
               Topology.ofOneRegion("z"),
               (event, fields) -> {});
-      EngineSuspicionNotifier gossip =
+      EngineSuspicionNotifier notifier =
           new EngineSuspicionNotifier(
               engines, peers, transport, codec, eventLoop, (event, fields) -> {});
       engines.put(new EngineRecord(ENGINE.value(), "s", "10.0.0.9", 80, "z", 4, false));
-      engines.onSuspicion(gossip);
-      network.attach(address, new PeerMessageDispatcher(codec, peers, List.of(gossip)));
+      engines.onSuspicion(notifier);
+      network.attach(address, new PeerMessageDispatcher(codec, peers, List.of(notifier)));
     }
 
     Engine engine() {
@@ -112,15 +112,15 @@
     "3, 6100, HEALTHY",
   })
   void repeatedNoticesAboutAnEngineExtendItsSuspicion(
-      int reports, long millis, EngineHealth expected) {
+      int notices, long millis, EngineHealth expected) {
     Node second = started("second", 2);
     eventLoop.advance(2_000);
-    byte[] report = new PeerMessageCodec().encode(new PeerMessage.EngineSuspicion(ENGINE));
+    byte[] notice = new PeerMessageCodec().encode(new PeerMessage.EngineSuspicion(ENGINE));
     PeerTransport sender = network.transportOf(new PeerAddress("10.0.0.1", 1));
-    for (int i = 0; i < reports; i++) {
+    for (int i = 0; i < notices; i++) {
       eventLoop.advance(7_000);
-      sender.send(second.address, report);
-      sender.send(second.address, report);
+      sender.send(second.address, notice);
+      sender.send(second.address, notice);
     }
     eventLoop.advance(millis);
     assertEquals(expected, second.health());
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestLimitUnderLoad.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestLimitUnderLoad.java
@@ -16,8 +16,8 @@
  * Simulates two tenants with programs of ten requests and a limit of twice their usual demand. Both
  * have their usual demand for 20 s, then one of them has eight times that for 6 s, then both have
  * their usual demand for 6 s. A program whose first turn is refused retries once, after the delay
- * that it received. Guards against an overload that breaks off running programs or affects the
- * other tenant.
+ * that it received. Guards against an overload that aborts running programs or affects the other
+ * tenant.
  */
 class TestLimitUnderLoad {
   private static final int REQUESTS = 10;
@@ -58,13 +58,14 @@
       sendFirstTurn(++lastProgram, RETRIES);
     }
 
-    private void sendFirstTurn(int program, int retriesLeft) {
+    private void sendFirstTurn(int program, int remainingRetries) {
       TokenDecision decision = decide(RequestKind.FIRST_TURN, program);
       if (decision.tokens() > 0) {
         started++;
         eventLoop.schedule(pauseMillis, () -> proceed(program, 1));
-      } else if (retriesLeft > 0) {
-        eventLoop.schedule(decision.retryMillis(), () -> sendFirstTurn(program, retriesLeft - 1));
+      } else if (remainingRetries > 0) {
+        eventLoop.schedule(
+            decision.retryMillis(), () -> sendFirstTurn(program, remainingRetries - 1));
       }
     }
 
@@ -96,8 +97,8 @@
     random = new Random(seed);
     startNanos = eventLoop.nanoTime();
     while (millis() < END_MILLIS) {
-      boolean burst = millis() >= HOT_FROM_MILLIS && millis() < HOT_UNTIL_MILLIS;
-      startAt(hot, USUAL_PROGRAMS_PER_SECOND * (burst ? HOT_FACTOR : 1));
+      boolean overloaded = millis() >= HOT_FROM_MILLIS && millis() < HOT_UNTIL_MILLIS;
+      startAt(hot, USUAL_PROGRAMS_PER_SECOND * (overloaded ? HOT_FACTOR : 1));
       startAt(usual, USUAL_PROGRAMS_PER_SECOND);
       eventLoop.advance(1);
     }
@@ -136,8 +137,8 @@
   }
 
   /**
-   * Demand of half the limit for a minute without a burst, also where few programs make up the
-   * limit.
+   * Demand of half the limit for a minute without a burst, also with limits that few programs
+   * reach.
    */
   @ParameterizedTest(name = "{0} programs a second, seed {1}")
   @CsvSource({"6, 1", "3, 2", "1, 3", "0.5, 4", "0.3, 5", "0.3, 6"})
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestSharedRequestLimiter.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestSharedRequestLimiter.java
@@ -165,9 +165,7 @@
     return ((Decision.Allowed) decisions.get(index)).use().multiple();
   }
 
-  /**
-   * The demand at the holder is five times the limit; the other node has a single request of it.
-   */
+  /** The holder receives requests at five times the limit, the other node a single request. */
   @Test
   void eachNodeReceivesTheDemandOverAllNodes() {
     startBoth();
@@ -331,7 +329,7 @@
     assertEquals(1, allowed());
   }
 
-  /** A request that cannot wait long enough is refused at once, not when its time is over. */
+  /** A request that cannot wait long enough is refused at once, not when its timeout has passed. */
   @Test
   void requestIsRefusedAtOnceIfItsTokenComesTooLate() {
     startBoth();
--- a/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestTokenBucket.java
+++ b/baykeel-gateway/src/test/java/org/baykeel/gateway/ratelimit/TestTokenBucket.java
@@ -91,7 +91,8 @@
   }
 
   /**
-   * Reproduces a program that moved to another node, which takes the next turn for the first one.
+   * Reproduces a program that moved to another node, which mistakes the next turn for the first
+   * one.
    */
   @Test
   void startedProgramContinuesOnAnotherNode() {
